--- a/packages/entry/include/porttiller/entry/AttemptFilter.h
+++ b/packages/entry/include/porttiller/entry/AttemptFilter.h
@@ -1,5 +1,5 @@
-// The end of the filter chain: attempts at homes until the request has its
-// final answer.
+// The last filters of the chain: they send attempts to homes until the request
+// has its final answer.
 #pragma once
 
 #include "porttiller/entry/AttemptPool.h"
@@ -12,7 +12,7 @@
 
 namespace porttiller {
 
-// Names attempts; one for each daemon, so no id is used twice.
+// Generates attempt ids. One instance per daemon keeps them unique.
 class AttemptNamer
 {
 public:
@@ -25,8 +25,8 @@
   std::atomic<std::uint64_t> mNext{ 1 };
 };
 
-// What the attempt filters work with. Owned by the node.
-struct AttemptServices
+// Objects that the attempt filters use. Owned by the node.
+struct AttemptDependencies
 {
   EntryView& mView;
   Dispatcher& mDispatcher;
@@ -36,32 +36,34 @@
   WorkspaceGate& mGate;
 };
 
-// A caller that was told "unknown" asks again: its home says what became of
-// the first attempt before anything new is tried.
+// Handles a caller that retries with the token of an "unknown" outcome: the
+// home named by the token revokes the earlier attempt or reports its state
+// before a new one is sent.
 class TokenFilter
 {
 public:
-  explicit TokenFilter(AttemptServices aServices)
-    : mServices(aServices)
+  explicit TokenFilter(AttemptDependencies aDependencies)
+    : mDependencies(aDependencies)
   {
   }
   std::optional<CallerAnswer> Apply(RequestContext& aContext) const;
 
 private:
-  AttemptServices mServices;
+  AttemptDependencies mDependencies;
 };
 
+// Sends the request to homes; always returns an answer.
 class AttemptFilter
 {
 public:
-  explicit AttemptFilter(AttemptServices aServices)
-    : mServices(aServices)
+  explicit AttemptFilter(AttemptDependencies aDependencies)
+    : mDependencies(aDependencies)
   {
   }
   std::optional<CallerAnswer> Apply(RequestContext& aContext) const;
 
 private:
-  AttemptServices mServices;
+  AttemptDependencies mDependencies;
 };
 
 } // namespace porttiller
--- a/packages/entry/include/porttiller/entry/AttemptPool.h
+++ b/packages/entry/include/porttiller/entry/AttemptPool.h
@@ -1,4 +1,4 @@
-// Threads for attempts that must not hold up the thread of their request.
+// Thread pool for attempts that must not block the thread of their request.
 #pragma once
 
 #include <Poco/ThreadPool.h>
@@ -6,17 +6,18 @@
 
 namespace porttiller {
 
-// Owned by the node; destroyed before what the attempts use. Thread-safe.
+// Owned by the node, which destroys it before the objects that attempts use.
+// Thread-safe.
 class AttemptPool
 {
 public:
   AttemptPool();
-  // Waits for what still runs.
+  // Waits for the attempts that still run.
   ~AttemptPool();
   AttemptPool(const AttemptPool&) = delete;
   AttemptPool& operator=(const AttemptPool&) = delete;
 
-  // False when every thread is busy; aWork is then not run.
+  // Returns false, without running aWork, when every thread is busy.
   bool Start(const std::function<void()>& aWork);
 
 private:
--- a/packages/entry/include/porttiller/entry/Dispatcher.h
+++ b/packages/entry/include/porttiller/entry/Dispatcher.h
@@ -1,4 +1,4 @@
-// Sends one attempt to the home of its server and finds out what became of it.
+// Sends one attempt to the home of its server and determines its outcome.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -16,22 +16,22 @@
 
 namespace porttiller {
 
-// The server ran it; this is its whole answer.
+// The server ran the attempt; holds its complete answer.
 struct AttemptAnswered
 {
   HttpAnswer mHttp;
-  double mLoad = 0.0;     // of the server, as its home reports it
-  Micros mUsualTime{ 0 }; // nine in ten requests like it take no longer
+  double mLoad = 0.0;     // of the server, as reported by its home
+  Micros mUsualTime{ 0 }; // 90th percentile of the route; 0: not known
 };
 
-// It was not run and will not be.
+// The attempt was not run and never will be.
 struct AttemptNotRun
 {
   Refusal mRefusal = Refusal::kNone;
   Millis mRetryAfter{ 0 };
 };
 
-// It may have been run, or may be running.
+// The attempt may have been run or may still be running.
 struct AttemptUnknown
 {
   std::string mReason;
@@ -40,12 +40,12 @@
 using AttemptResult =
   std::variant<AttemptAnswered, AttemptNotRun, AttemptUnknown>;
 
-// What became of an earlier attempt, told by its home.
-struct AttemptFate
+// State of an earlier attempt, as reported by its home.
+struct AttemptStatus
 {
   AttemptState mState = AttemptState::kForgotten;
-  Outcome mOutcome = Outcome::kUnknown;
-  RecordedAnswerPtr mAnswer;
+  Outcome mOutcome = Outcome::kUnknown; // valid when kFinished
+  RecordedAnswerPtr mAnswer; // null: not recorded, or another request key
 };
 
 // Owned by the node. Thread-safe.
@@ -59,38 +59,40 @@
              Metrics& aMetrics,
              const Cutoff& aCutoff);
 
-  // Sends aRequest, filling in its home's incarnation, and waits for what
-  // becomes of it.
+  // Fills in the incarnation of the home, sends aRequest and waits for the
+  // result.
   AttemptResult Send(const BoxSpec& aBox, HomeRequest aRequest);
 
-  // Asks the home what became of an attempt.
-  AttemptFate Query(const BoxSpec& aBox,
-                    Incarnation aNamed,
-                    const AttemptId& aAttempt,
-                    const std::string& aRequestKey);
-  // Asks the home to make sure that the attempt never runs.
-  AttemptFate Revoke(const BoxSpec& aBox,
-                     Incarnation aNamed,
-                     const AttemptId& aAttempt,
-                     const std::string& aRequestKey);
+  // Asks the home for the state of an attempt.
+  AttemptStatus Query(const BoxSpec& aBox,
+                      Incarnation aHomeIncarnation,
+                      const AttemptId& aAttempt,
+                      const std::string& aRequestKey);
+  // Asks the home to prevent the attempt from running if it has not begun.
+  AttemptStatus Revoke(const BoxSpec& aBox,
+                       Incarnation aHomeIncarnation,
+                       const AttemptId& aAttempt,
+                       const std::string& aRequestKey);
 
 private:
-  AttemptFate Ask(const BoxSpec& aBox, wire::Envelope aQuestion);
+  AttemptStatus SendQuery(const BoxSpec& aBox, wire::Envelope aQuery);
   HttpPool& PoolOf(const BoxSpec& aBox);
   AttemptResult SendLocal(const HomeRequest& aRequest);
   AttemptResult SendRemote(const BoxSpec& aBox, const HomeRequest& aRequest);
-  AttemptResult Await(const BoxSpec& aBox,
-                      const HomeRequest& aRequest,
-                      HttpExchange& aExchange);
+  AttemptResult AwaitAnswer(const BoxSpec& aBox,
+                            const HomeRequest& aRequest,
+                            HttpExchange& aExchange);
   bool WaitReadable(const HomeRequest& aRequest,
                     HttpExchange& aExchange,
                     TimePoint aUntil) const;
-  AttemptResult Read(const BoxSpec& aBox,
-                     const HomeRequest& aRequest,
-                     HttpExchange& aExchange);
-  AttemptResult Settle(const BoxSpec& aBox,
-                       const HomeRequest& aRequest,
-                       const std::string& aReason);
+  AttemptResult ReadHomeAnswer(const BoxSpec& aBox,
+                               const HomeRequest& aRequest,
+                               HttpExchange& aExchange);
+  // After the answer was lost or is late: revokes the attempt to learn whether
+  // it ran.
+  AttemptResult ResolveOutcome(const BoxSpec& aBox,
+                               const HomeRequest& aRequest,
+                               const std::string& aReason);
 
   const Settings& mSettings;
   Home& mHome;
--- a/packages/entry/include/porttiller/entry/EntryServer.h
+++ b/packages/entry/include/porttiller/entry/EntryServer.h
@@ -1,4 +1,5 @@
-// The entry role's HTTP server: callers' requests through the filter chain.
+// HTTP server of the entry role: passes callers' requests through the filter
+// chain.
 #pragma once
 
 #include "porttiller/entry/Filters.h"
@@ -9,7 +10,7 @@
 
 namespace porttiller {
 
-// The configuration in force; null before any is known.
+// Returns the configuration in force; null before one has been received.
 using SnapshotSource = std::function<SnapshotPtr()>;
 
 // Owned by the node.
@@ -19,19 +20,19 @@
   static tl::expected<std::unique_ptr<EntryServer>, std::string> Make(
     const Settings& aSettings,
     SnapshotSource aSnapshot,
-    AttemptServices aServices);
+    AttemptDependencies aDependencies);
 
-  // Answers from now on end their connections; nothing is refused yet.
+  // Closes each connection after its next answer; still accepts requests.
   void BeginDrain() { mListener->BeginDrain(); }
-  // What callers may send, from the next connection on.
+  // Limits what callers may send, on connections accepted after the call.
   void SetLimits(const LimitsSpec& aLimits);
-  // Waits until every request has its answer.
+  // Waits until every request has been answered.
   void Stop();
 
 private:
   EntryServer(const Settings& aSettings,
               SnapshotSource aSnapshot,
-              AttemptServices aServices);
+              AttemptDependencies aDependencies);
 
   HttpListenerOptions ListenerOptions() const;
   HttpReply Serve(HttpCall& aCall);
@@ -43,7 +44,7 @@
   const Settings& mSettings;
   const SnapshotSource mSnapshot;
   const EdgeHeaders mNames;
-  AttemptServices mServices;
+  AttemptDependencies mDependencies;
   const std::vector<Filter> mFilters;
   std::unique_ptr<HttpListener> mListener;
 };
--- a/packages/entry/include/porttiller/entry/EntryView.h
+++ b/packages/entry/include/porttiller/entry/EntryView.h
@@ -1,6 +1,6 @@
-// What an entry has learned of the servers and boxes that it sends to: from
-// answers, from refusals and from failures of the path. All of it is a hint;
-// the home decides.
+// State that an entry keeps about the servers and boxes that it sends to,
+// learned from answers, rejections, server updates and network failures. It
+// only guides the choice of a server; the home decides.
 #pragma once
 
 #include "porttiller/config/Snapshot.h"
@@ -19,81 +19,83 @@
 
 namespace porttiller {
 
-// A home's life and clock as an entry knows them.
-struct HomeLife
+// A home's incarnation and clock, as far as the entry knows them.
+struct HomeState
 {
   Incarnation mIncarnation;
-  std::optional<Millis> mClockOffset; // the home's clock less the entry's
+  std::optional<Millis> mClockOffset; // the home's clock minus the entry's
 };
 
-// What the next attempt may be sent to.
-struct ChoiceTerms
+// Limits the servers that the next attempt may be sent to.
+struct ChoiceConstraints
 {
-  bool mMayFail = false;  // it may be a trial of a server that fails
-  bool mOpenOnly = false; // nothing may speak against the server
+  bool mMayFail = false;  // may be a trial request to a demoted server
+  bool mOpenOnly = false; // only servers whose standing is kOpen
 };
 
 struct Choice
 {
   const BackendServerSpec* mServer = nullptr; // null when none is left
-  bool mDemotedLeft = false; // some serve as the last resort only
+  bool mDemotedLeft = false; // untried servers are left as the last resort
 };
 
-// Thread-safe: services and boxes are in shards, each under its own lock.
+// Thread-safe: services and boxes are sharded, with a lock per shard.
 class EntryView
 {
 public:
   EntryView(BoxName aBox, AvailabilityZone aZone, BalancerOptions aOptions);
 
-  // The server for the next attempt.
+  // Chooses the server for the next attempt.
   Choice Choose(const Snapshot& aSnapshot,
                 const ServiceEntry& aService,
                 const AttemptPlan& aPlan,
-                const ChoiceTerms& aTerms,
+                const ChoiceConstraints& aConstraints,
                 TimePoint aNow);
 
   void OnSent(const BackendServerSpec& aServer);
   void OnEnded(const BackendServerSpec& aServer);
-  // The load ages: a server that nobody tries must not stay busy for ever.
+  // The reported load decays: a server that gets no requests sends no new
+  // report and would otherwise be avoided for ever.
   void OnLoad(const BackendServerSpec& aServer, double aLoad, TimePoint aNow);
   void OnRefused(const BackendServerSpec& aServer,
                  Refusal aRefusal,
                  Millis aRetryAfter,
-                 bool aMayFail, // the request that was refused
+                 bool aMayFail, // of the rejected request
                  TimePoint aNow);
 
-  // Sent by the home of a server.
-  void OnNews(const ServerNews& aNews, TimePoint aNow);
+  // A server update sent by the home of the server.
+  void OnNews(const ServerNews& aUpdate, TimePoint aNow);
 
-  // The way to a box fails or works; never held against its servers.
+  // The network path to a box failed or worked. Not counted against its
+  // servers.
   void OnPathFailure(const BoxName& aBox, TimePoint aNow);
   void OnPathSuccess(const BoxName& aBox);
-  HomeLife LifeOf(const BoxName& aBox) const;
-  void SetLife(const BoxName& aBox, const HomeLife& aLife);
-  // What membership knows of a box: dead and leaving ones are used last.
+  HomeState LifeOf(const BoxName& aBox) const;
+  void SetLife(const BoxName& aBox, const HomeState& aState);
+  // From membership: dead and leaving boxes are used last.
   void SetBoxUsable(const BoxName& aBox, bool aUsable);
 
-  // Whether an answer of the service was an error of its server's own.
+  // aError: the server itself answered with an error.
   void OnAnswered(const ServiceName& aService, bool aError);
-  // The share of its answers that are; a moving average.
-  double UsualErrors(const ServiceName& aService) const;
-
-  // What homes tell of a route: nine in ten of its requests take no longer.
-  void OnUsualTime(const ServiceName& aService,
-                   const std::string& aRoute,
-                   Micros aTime);
-  // After this a repeatable request of the route is worth a second server.
-  // aGiven: the time that it has in all.
+  // Moving average of the share of errors among the service's answers, 0 to 1.
+  double ErrorRate(const ServiceName& aService) const;
+
+  // A home's 90th percentile of the latency of a route.
+  void OnLatencyP90(const ServiceName& aService,
+                    const std::string& aRoute,
+                    Micros aTime);
+  // Delay after which a repeatable request of the route is hedged.
+  // aTotalTime: from the arrival of the request to its deadline.
   Micros RaceDelay(const ServiceName& aService,
                    const std::string& aRoute,
-                   Micros aGiven) const;
+                   Micros aTotalTime) const;
 
   std::string Dump() const;
 
 private:
   static constexpr std::size_t kShards = 16;
 
-  // Of one start of a server; a later start begins with a new one.
+  // Of one incarnation of a server; the next one starts with a new view.
   struct ServerView
   {
     std::optional<std::int64_t> mStartMs;
@@ -102,35 +104,36 @@
     TimePoint mLoadAt;
     Standing mStanding = Standing::kOpen;
     TimePoint mStandingUntil;
-    // Its home turns away what must not fail there, and what may fail, too.
-    TimePoint mBrokenUntil;
+    // Until mDemotedUntil its home rejects requests that must not fail, until
+    // mNoTrialUntil also trial requests.
+    TimePoint mDemotedUntil;
     TimePoint mNoTrialUntil;
   };
 
   struct BoxView
   {
-    HomeLife mLife;
-    int mFailures = 0; // in a row
+    HomeState mHomeState;
+    int mFailures = 0; // consecutive failures of the network path
     TimePoint mAvoidUntil;
     bool mUsable = true;
   };
 
-  // A server where the choice finds it without look-ups.
-  struct Place
+  // A server with pointers to all that the choice needs, to save look-ups.
+  struct ResolvedServer
   {
     const BackendServerSpec* mServer = nullptr;
-    const BoxSpec* mBox = nullptr; // null: not known
+    const BoxSpec* mBox = nullptr; // null: not in the snapshot
     bool mSameZone = false;
-    ServerView* mView = nullptr; // under its service's shard
-    BoxView* mBoxView = nullptr; // under its box's shard
+    ServerView* mView = nullptr; // guarded by its service's shard
+    BoxView* mBoxView = nullptr; // guarded by its box's shard
   };
 
-  // All servers of a service in one snapshot, the entry's subset in front.
+  // All servers of a service in one snapshot, the entry's subset first.
   struct ServerOrder
   {
-    std::uint64_t mSerial = 0; // of the snapshot that it points into
-    std::vector<Place> mPlaces;
-    std::size_t mSubset = 0;
+    std::uint64_t mSerial = 0; // of the snapshot that it refers to
+    std::vector<ResolvedServer> mResolvedServers;
+    std::size_t mSubsetSize = 0;
   };
 
   using ServerOrderPtr = std::shared_ptr<const ServerOrder>;
@@ -139,8 +142,8 @@
   {
     mutable std::mutex mMutex;
     std::map<BackendServerName, ServerView> mServers;
-    std::map<std::string, Micros> mUsualTimes; // by route
-    std::map<ServiceName, double> mErrors;     // share of the answers
+    std::map<std::string, Micros> mLatencyP90s; // by route
+    std::map<ServiceName, double> mErrorRates;  // by service, 0 to 1
     std::map<ServiceName, ServerOrderPtr> mOrders;
   };
 
@@ -154,20 +157,20 @@
                             const ServerIncarnation& aServer);
   ServiceShard& ShardOf(const ServiceName& aService) const;
   BoxShard& ShardOf(const BoxName& aBox) const;
-  SubsetEntry OwnPlace(const Snapshot& aSnapshot);
+  SubsetEntry OwnSubsetEntry(const Snapshot& aSnapshot);
   ServerOrderPtr OrderOf(const Snapshot& aSnapshot,
                          const ServiceEntry& aService);
   ServerOrderPtr MakeOrder(const Snapshot& aSnapshot,
                            const ServiceEntry& aService);
-  bool PathAvoided(const Place& aPlace, TimePoint aNow) const;
-  Candidate MakeCandidate(const Place& aPlace,
+  bool PathAvoided(const ResolvedServer& aResolved, TimePoint aNow) const;
+  Candidate MakeCandidate(const ResolvedServer& aResolved,
                           const AttemptPlan& aPlan,
                           bool aMayFail,
                           TimePoint aNow) const;
-  // Of the next aMore places.
+  // Adds up to aMaxCount servers, in the order of aOrder.
   void AddCandidates(std::vector<Candidate>& aCandidates,
                      const ServerOrder& aOrder,
-                     std::size_t aMore,
+                     std::size_t aMaxCount,
                      const AttemptPlan& aPlan,
                      bool aMayFail,
                      TimePoint aNow) const;
@@ -175,9 +178,10 @@
   const BoxName mBox;
   const AvailabilityZone mZone;
   const BalancerOptions mOptions;
-  std::mutex mOwnPlaceMutex;
-  SubsetEntry mOwnPlace;             // under mOwnPlaceMutex
-  std::uint64_t mOwnPlaceSerial = 0; // of its snapshot; under mOwnPlaceMutex
+  std::mutex mSubsetEntryMutex;
+  // Guarded by mSubsetEntryMutex, with the serial of its snapshot.
+  SubsetEntry mSubsetEntry;
+  std::uint64_t mSubsetEntrySerial = 0;
   mutable std::array<ServiceShard, kShards> mServices;
   mutable std::array<BoxShard, kShards> mBoxes;
 };
--- a/packages/entry/include/porttiller/entry/Filters.h
+++ b/packages/entry/include/porttiller/entry/Filters.h
@@ -1,5 +1,5 @@
-// The filter chain of the entry role: each filter either fills in the context
-// or ends the request with an answer.
+// Filter chain of the entry role. Each filter either fills in the context or
+// ends the request with an answer.
 #pragma once
 
 #include "porttiller/entry/AttemptFilter.h"
@@ -11,22 +11,22 @@
 
 namespace porttiller {
 
-// Refuses versions of HTTP that are not spoken here.
+// Rejects HTTP versions other than 1.0 and 1.1.
 class VersionFilter
 {
 public:
   std::optional<CallerAnswer> Apply(RequestContext& aContext) const;
 };
 
-// Finds the route and its service.
+// Finds the route and chooses one of its services by weight.
 class RouteFilter
 {
 public:
   std::optional<CallerAnswer> Apply(RequestContext& aContext) const;
 };
 
-// Reads the caller's deadline, repeatability, key and token.
-class TermsFilter
+// Reads the caller's deadline, repeatability, request key and token.
+class RequestOptionsFilter
 {
 public:
   std::optional<CallerAnswer> Apply(RequestContext& aContext) const;
@@ -35,12 +35,13 @@
 using Filter = std::variant<VersionFilter,
                             RouteFilter,
                             WorkspaceFilter,
-                            TermsFilter,
+                            RequestOptionsFilter,
                             LimitFilter,
                             TokenFilter,
                             AttemptFilter>;
 
-// The answer of the first filter that has one; the last always has.
+// Returns the answer of the first filter that has one; the last filter always
+// has one.
 CallerAnswer
 ApplyFilters(const std::vector<Filter>& aFilters, RequestContext& aContext);
 
--- a/packages/entry/include/porttiller/entry/RequestContext.h
+++ b/packages/entry/include/porttiller/entry/RequestContext.h
@@ -1,4 +1,4 @@
-// A caller's request on its way through the filters, and the answer to it.
+// A caller's request as it passes through the filters, and its answer.
 #pragma once
 
 #include "porttiller/config/EdgeHeaders.h"
@@ -14,24 +14,25 @@
 
 namespace porttiller {
 
-// What the caller gets.
+// The answer to the caller.
 struct CallerAnswer
 {
   int mStatus = 0;
   HttpHeaders mHeaders;
   std::string mBody;
   Outcome mOutcome = Outcome::kNotRun;
-  std::string mReason; // for answers that the proxy makes itself
+  std::string mReason; // set when the proxy made the answer itself
   std::optional<Millis> mRetryAfter;
-  std::string mToken; // names the home that may know more, if unknown
+  std::string mToken; // with kUnknown: the home and the attempt to ask about
   bool mCloseConnection = false;
 };
 
-// An answer made by the proxy: a JSON body with the reason.
+// Makes an answer of the proxy itself, with the reason in a JSON body.
 CallerAnswer
 MakeProxyAnswer(int aStatus, Outcome aOutcome, const std::string& aReason);
 
-// Owned by the thread that serves the request; filled in filter by filter.
+// Owned by the thread that serves the request. Each filter fills in some
+// fields.
 struct RequestContext
 {
   const Settings& mSettings;
@@ -39,20 +40,20 @@
   SnapshotPtr mSnapshot;
   TimePoint mArrival;
   HttpRequestData mHttp; // as received
-  CancelFlag mCancelled; // the caller has gone
+  CancelFlag mCancelled; // set when the caller disconnects
 
-  std::string mRequestId;            // the caller's, may be empty
+  std::string mRequestId;            // set by the caller, may be empty
   std::string mPath;                 // decoded, without the query
   const RouteSpec* mRoute = nullptr; // in mSnapshot
   const ServiceEntry* mService = nullptr;
-  WorkspacePtr mWorkspace; // null: the route asks for no key
+  WorkspacePtr mWorkspace; // null: no API key required
   Priority mPriority = Priority::kNormal;
-  bool mCounted = false; // against the limit of mWorkspace
+  bool mCountedAgainstLimit = false; // of mWorkspace
   TimePoint mDeadline;
   bool mRepeatable = false;
   std::string mRequestKey;
   std::string mToken;
-  Micros mHomeTime{ 0 }; // spent with homes, for the latency that we add
+  Micros mHomeTime{ 0 }; // waiting for homes; not counted as added latency
 };
 
 } // namespace porttiller
--- a/packages/entry/include/porttiller/entry/WorkspaceFilters.h
+++ b/packages/entry/include/porttiller/entry/WorkspaceFilters.h
@@ -1,5 +1,5 @@
-// The filters that hold callers to their workspaces: whose request it is, and
-// whether that workspace is within its limit.
+// Filters that authenticate the workspace of a request and enforce its rate
+// limit.
 #pragma once
 
 #include "porttiller/entry/RequestContext.h"
@@ -10,9 +10,8 @@
 
 namespace porttiller {
 
-// Settles whose request it is, by the key that came with this very request.
-// From here on the request carries neither the key nor a workspace that its
-// sender named.
+// Finds the workspace by the API key of the request. Removes the key, and any
+// workspace header that the sender set itself.
 class WorkspaceFilter
 {
 public:
@@ -21,7 +20,7 @@
 
 inline constexpr const char* kOverLimitReason = "over-limit";
 
-// Turns requests beyond a workspace's limit away, before anything is sent.
+// Rejects requests over the workspace's limit, before anything is sent.
 class LimitFilter
 {
 public:
--- a/packages/entry/include/porttiller/entry/WorkspaceGate.h
+++ b/packages/entry/include/porttiller/entry/WorkspaceGate.h
@@ -1,5 +1,5 @@
-// The gate of this box's entry for the limits of workspaces: the decisions of
-// LimitGate and UseReporter under one lock.
+// Enforces the rate limits of workspaces at this box's entry: makes LimitGate
+// and UseReporter thread-safe, with one lock for both.
 #pragma once
 
 #include "porttiller/config/Resources.h"
@@ -12,32 +12,33 @@
 
 namespace porttiller {
 
-// Owned by the node. Thread-safe; no call blocks for longer than a look-up.
+// Owned by the node. Thread-safe; the lock is held for in-memory work only.
 class WorkspaceGate
 {
 public:
   explicit WorkspaceGate(const LimitBounds& aBounds = {});
 
-  // aKind: the priority of the route; of a workspace near its limit the more
-  // urgent kinds pass first.
-  LimitVerdict Offer(const WorkspaceSpec& aWorkspace, Priority aKind);
-  // An admitted request was not run.
+  // aPriority: of the route. Near the limit, higher priorities are admitted
+  // first.
+  LimitVerdict Offer(const WorkspaceSpec& aWorkspace, Priority aPriority);
+  // Undoes the admission of a request that was not run.
   void GiveBack(const WorkspaceName& aWorkspace);
 
-  // At each tick of the controller; see UseReporter.
+  // Called at each tick of the controller; see UseReporter::Next.
   std::optional<UseReport> NextReport(const std::vector<BoxName>& aCollectors);
-  void OnReply(std::uint64_t aQuestion, bool aReplied);
-  // From a collector.
+  // aQuery: UseReport::mQuestion. aReplied: false when the reply timed out.
+  void OnReply(std::uint64_t aQuery, bool aReplied);
+  // Admitted shares from a collector.
   void OnGrants(const WorkspaceGrants& aGrants, bool aWarming);
-  // Boxes that share each limit.
+  // Number of boxes that share each limit.
   void SetBoxes(std::size_t aBoxes);
 
   std::string Dump() const;
 
 private:
   mutable std::mutex mMutex;
-  LimitGate mGate;       // under mMutex
-  UseReporter mReporter; // under mMutex
+  LimitGate mGate;       // guarded by mMutex
+  UseReporter mReporter; // guarded by mMutex
 };
 
 } // namespace porttiller
--- a/packages/entry/src/AttemptFilter.cpp
+++ b/packages/entry/src/AttemptFilter.cpp
@@ -13,7 +13,7 @@
 struct Token
 {
   BoxName mBox;
-  Incarnation mLife;
+  Incarnation mHomeIncarnation;
   AttemptId mAttempt;
 };
 
@@ -52,7 +52,7 @@
 std::optional<CallerAnswer>
 AttemptFilter::Apply(RequestContext& aContext) const
 {
-  return AttemptRun(mServices, aContext).Run();
+  return AttemptRun(mDependencies, aContext).Run();
 }
 
 std::optional<CallerAnswer>
@@ -65,21 +65,21 @@
   if (!token) {
     return MakeProxyAnswer(kBadRequest, Outcome::kNotRun, "bad-token");
   }
-  AttemptFate fate;
+  AttemptStatus attemptStatus;
   if (const auto* box = aContext.mSnapshot->FindBox(token->mBox)) {
-    fate = mServices.mDispatcher.Revoke(
-      *box, token->mLife, token->mAttempt, aContext.mRequestKey);
+    attemptStatus = mDependencies.mDispatcher.Revoke(
+      *box, token->mHomeIncarnation, token->mAttempt, aContext.mRequestKey);
   }
-  if (fate.mState == AttemptState::kNotRun) {
-    return std::nullopt; // now it may be tried anew
+  if (attemptStatus.mState == AttemptState::kNotRun) {
+    return std::nullopt; // safe to send a new attempt
   }
-  if (fate.mAnswer) {
-    return PassOn(
-      { .mStatus = fate.mAnswer->mStatus,
-        .mHeaders = { { "Content-Type", fate.mAnswer->mContentType } },
-        .mBody = fate.mAnswer->mBody });
+  if (attemptStatus.mAnswer) {
+    return ToCallerAnswer(
+      { .mStatus = attemptStatus.mAnswer->mStatus,
+        .mHeaders = { { "Content-Type", attemptStatus.mAnswer->mContentType } },
+        .mBody = attemptStatus.mAnswer->mBody });
   }
-  const bool running = fate.mState == AttemptState::kRunning;
+  const bool running = attemptStatus.mState == AttemptState::kRunning;
   auto answer = MakeProxyAnswer(
     kBadGateway, Outcome::kUnknown, running ? "still-running" : "forgotten");
   if (running) {
--- a/packages/entry/src/AttemptPool.cpp
+++ b/packages/entry/src/AttemptPool.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr int kMinThreads = 1;
-// As many requests as an entry serves at once, each with a rival; an attempt
-// beyond that runs on its request's thread, without a race.
+// Enough for the concurrent requests of an entry, each with a hedged attempt.
+// Beyond that an attempt runs on its request's thread and is not hedged.
 constexpr int kMaxThreads = 1024;
 constexpr int kIdleSeconds = 10;
 
-// Deletes itself: the pool does not own what it runs.
+// Deletes itself after it has run: Poco::ThreadPool does not own its tasks.
 class Task : public Poco::Runnable
 {
 public:
--- a/packages/entry/src/AttemptRunPriv.cpp
+++ b/packages/entry/src/AttemptRunPriv.cpp
@@ -15,23 +15,29 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 constexpr int kServerErrors = 500;
-// Most of them are homes that refuse, which costs a trip and no server.
+// Most of these are rejected by homes, which costs a round trip each but no
+// work of a server.
 constexpr int kMaxAttempts = 12;
 constexpr Millis kDefaultRetryAfter{ 500 };
 constexpr Millis kUnknownRetryAfter{ 1000 };
-// Of the requests that may be repeated, one in so many is a trial where one is
-// due: most trials fail and cost a retry. At 80 boxes such requests are few,
-// and with one in four, mixed among the open servers, none of 17 demoted
-// servers was found well again in ten seconds.
-constexpr std::uint64_t kScoutOneIn = 2;
-// The homes of a service hold its budget and refuse repeats beyond it.
-const RetrySource kHomesDecide = [] { return true; };
+// One in this many of the requests that may fail is sent as a trial to a
+// demoted server whose trial is due. More would cost too many retries, as most
+// trials fail. Fewer find a recovered server too late: such requests are rare
+// with 80 boxes, and at one in four, spread over the open servers too, none of
+// 17 demoted servers recovers within ten seconds.
+constexpr std::uint64_t kTrialOneIn = 2;
+// The entry sets no limit of its own: the homes of a service hold its retry
+// budget and reject repeats beyond it.
+const RetrySource kUnlimitedRetries = [] { return true; };
 
 // "<home box>/<home incarnation>/<attempt id>"
 std::string
-MakeToken(const BoxName& aBox, Incarnation aLife, const AttemptId& aAttempt)
+MakeToken(const BoxName& aBox,
+          Incarnation aHomeIncarnation,
+          const AttemptId& aAttempt)
 {
-  return AttemptId(aBox, aLife, 0).ToString() + "/" + aAttempt.ToString();
+  return AttemptId(aBox, aHomeIncarnation, 0).ToString() + "/" +
+         aAttempt.ToString();
 }
 
 Setback
@@ -40,7 +46,7 @@
   switch (aRefusal) {
     case Refusal::kIncarnation:
     case Refusal::kExpired:
-      // The refusal told the home's life and clock.
+      // The rejection carries the home's incarnation and clock.
       return Setback::kSameAgain;
     case Refusal::kDemoted:
       return Setback::kDemoted;
@@ -86,9 +92,9 @@
   return ended;
 }
 
-AttemptRun::AttemptRun(const AttemptServices& aServices,
+AttemptRun::AttemptRun(const AttemptDependencies& aDependencies,
                        RequestContext& aContext)
-  : mServices(aServices)
+  : mDependencies(aDependencies)
   , mContext(aContext)
   , mPlan(aContext.mRepeatable,
           { .mMaxAttempts = kMaxAttempts,
@@ -102,36 +108,36 @@
 CallerAnswer
 AttemptRun::Run()
 {
-  while (!mDone && MayGoOn()) {
+  while (!mDone && MayContinue()) {
     if (mRunning.empty() && !SendNext()) {
       break;
     }
-    AwaitOne();
+    AwaitResult();
   }
   CancelRunning();
-  return mAnswer ? *mAnswer : GiveUp();
+  return mAnswer ? *mAnswer : MakeFailureAnswer();
 }
 
 bool
-AttemptRun::MayGoOn() const
+AttemptRun::MayContinue() const
 {
   return Now() < mContext.mDeadline && !mContext.mCancelled->IsCancelled();
 }
 
-// False when no server is left to be tried.
+// Returns false when no server is left to try.
 bool
 AttemptRun::SendNext()
 {
   while (mPlan.MayAttempt()) {
-    const bool mayFail = mPlan.MayFailNext() && Random() % kScoutOneIn == 0;
-    const auto choice = mServices.mView.Choose(*mContext.mSnapshot,
-                                               *mContext.mService,
-                                               mPlan,
-                                               { .mMayFail = mayFail },
-                                               Now());
+    const bool mayFail = mPlan.MayFailNext() && Random() % kTrialOneIn == 0;
+    const auto choice = mDependencies.mView.Choose(*mContext.mSnapshot,
+                                                   *mContext.mService,
+                                                   mPlan,
+                                                   { .mMayFail = mayFail },
+                                                   Now());
     if (choice.mServer != nullptr) {
       if (mPlan.Attempts() > 0) {
-        mServices.mMetrics.Retries().Increment();
+        mDependencies.mMetrics.Retries().Increment();
       }
       SendTo(*choice.mServer, mayFail);
       return true;
@@ -143,12 +149,13 @@
   return false;
 }
 
-// What may run only once is sent on this thread: nothing else is done
-// meanwhile. Without a thread in the pool, neither is anything else.
+// A request that is not repeatable is sent on this thread, as there is nothing
+// to do until its result. A repeatable one is, too, when the pool has no free
+// thread; it is then not hedged.
 void
 AttemptRun::SendTo(const BackendServerSpec& aServer, bool aMayFail)
 {
-  RunningAttempt attempt{ .mId = mServices.mNamer.Next(),
+  RunningAttempt attempt{ .mId = mDependencies.mNamer.Next(),
                           .mServer = &aServer,
                           .mMayFail = aMayFail };
   attempt.mCancelled =
@@ -156,8 +163,8 @@
   auto request = MakeRequest(attempt);
   mPlan.OnSent(aServer.mName);
   mRunning.push_back(attempt);
-  auto send = [view = &mServices.mView,
-               dispatcher = &mServices.mDispatcher,
+  auto send = [view = &mDependencies.mView,
+               dispatcher = &mDependencies.mDispatcher,
                snapshot = mContext.mSnapshot,
                box = mContext.mSnapshot->FindBox(aServer.mBox),
                server = &aServer,
@@ -169,7 +176,7 @@
     results->Put({ request.mAttempt, std::move(result) });
   };
   mRaceAt = mContext.mRepeatable ? Now() + RaceDelay() : TimePoint::max();
-  if (!mContext.mRepeatable || !mServices.mPool.Start(send)) {
+  if (!mContext.mRepeatable || !mDependencies.mPool.Start(send)) {
     send();
   }
 }
@@ -177,20 +184,21 @@
 Micros
 AttemptRun::RaceDelay() const
 {
-  return mServices.mView.RaceDelay(mContext.mService->mSpec.mName,
-                                   mContext.mRoute->mName,
-                                   mContext.mDeadline - mContext.mArrival);
+  return mDependencies.mView.RaceDelay(mContext.mService->mSpec.mName,
+                                       mContext.mRoute->mName,
+                                       mContext.mDeadline - mContext.mArrival);
 }
 
-// The attempt that runs takes unusually long; another server may be faster.
+// Sends a hedged attempt to an open server, if there is one and the plan allows
+// it: the running attempt takes unusually long.
 void
 AttemptRun::Race()
 {
   mRaceAt = Now() + RaceDelay();
-  if (!mPlan.MayRace(kHomesDecide)) {
+  if (!mPlan.MayRace(kUnlimitedRetries)) {
     return;
   }
-  const auto* server = mServices.mView
+  const auto* server = mDependencies.mView
                          .Choose(*mContext.mSnapshot,
                                  *mContext.mService,
                                  mPlan,
@@ -200,28 +208,29 @@
   if (server == nullptr) {
     return;
   }
-  mServices.mMetrics.Races().Increment();
+  mDependencies.mMetrics.Races().Increment();
   LogRace(*server);
   SendTo(*server, false);
 }
 
-// Takes one result, or starts a race; ends at once when the caller goes.
+// Processes one result or starts a hedged attempt. Returns at once when the
+// caller disconnects.
 void
-AttemptRun::AwaitOne()
+AttemptRun::AwaitResult()
 {
   const auto until = std::min(mContext.mDeadline, mRaceAt);
   const auto start = Now();
   auto ended = mResults->Await(until);
   mContext.mHomeTime += Now() - start;
   if (ended) {
-    Take(std::move(*ended));
+    ProcessResult(std::move(*ended));
   } else if (Now() >= mRaceAt) {
     Race();
   }
 }
 
 void
-AttemptRun::Take(EndedAttempt aEnded)
+AttemptRun::ProcessResult(EndedAttempt aEnded)
 {
   const auto it = std::find_if(
     mRunning.begin(), mRunning.end(), [&](const RunningAttempt& aRunning) {
@@ -233,7 +242,7 @@
   std::visit(*this, aEnded.mResult);
 }
 
-// Whoever still runs has lost the race, or nobody waits for it.
+// Nobody waits for the results of the remaining attempts.
 void
 AttemptRun::CancelRunning()
 {
@@ -253,7 +262,7 @@
                        .mMayFail = aAttempt.mMayFail,
                        .mLastResort = mPlan.LastResort(),
                        .mRepeat = mPlan.ReachedBefore(),
-                       .mUsualErrors = mServices.mView.UsualErrors(
+                       .mUsualErrors = mDependencies.mView.ErrorRate(
                          mContext.mService->mSpec.mName),
                        .mDeadline = mContext.mDeadline,
                        .mRequestKey = mContext.mRequestKey,
@@ -265,7 +274,7 @@
   return request;
 }
 
-// What goes on to the server, less what its home sets for each attempt.
+// Headers for the server, without those that the home sets for each attempt.
 HttpHeaders
 AttemptRun::ServerHeaders() const
 {
@@ -279,7 +288,7 @@
     RemoveHeader(headers, names.mExpectedServer);
   }
   if (!names.mCallerService.empty()) {
-    // Whatever the sender says: it began on this box.
+    // Overwrites the sender's value: the request began on this box.
     RemoveHeader(headers, names.mCallerService);
     headers.push_back(
       { names.mCallerService, mContext.mSettings.mService.Value() });
@@ -291,35 +300,35 @@
 AttemptRun::operator()(AttemptAnswered& aAnswered)
 {
   const bool failed = aAnswered.mHttp.mStatus >= kServerErrors;
-  mServices.mView.OnAnswered(mContext.mService->mSpec.mName, failed);
-  mServices.mView.OnLoad(*mEnded.mServer, aAnswered.mLoad, Now());
-  mServices.mView.OnUsualTime(mContext.mService->mSpec.mName,
-                              mContext.mRoute->mName,
-                              aAnswered.mUsualTime);
-  mAnswer = PassOn(std::move(aAnswered.mHttp));
-  mPlan.OnAnswered(failed, kHomesDecide);
+  mDependencies.mView.OnAnswered(mContext.mService->mSpec.mName, failed);
+  mDependencies.mView.OnLoad(*mEnded.mServer, aAnswered.mLoad, Now());
+  mDependencies.mView.OnLatencyP90(mContext.mService->mSpec.mName,
+                                   mContext.mRoute->mName,
+                                   aAnswered.mUsualTime);
+  mAnswer = ToCallerAnswer(std::move(aAnswered.mHttp));
+  mPlan.OnAnswered(failed, kUnlimitedRetries);
   mDone = !failed;
 }
 
 void
 AttemptRun::operator()(const AttemptNotRun& aNotRun)
 {
-  mServices.mMetrics.CountRefusal(aNotRun.mRefusal);
-  mServices.mView.OnRefused(*mEnded.mServer,
-                            aNotRun.mRefusal,
-                            aNotRun.mRetryAfter,
-                            mEnded.mMayFail,
-                            Now());
+  mDependencies.mMetrics.CountRefusal(aNotRun.mRefusal);
+  mDependencies.mView.OnRefused(*mEnded.mServer,
+                                aNotRun.mRefusal,
+                                aNotRun.mRetryAfter,
+                                mEnded.mMayFail,
+                                Now());
   mReason = std::string(ToText(aNotRun.mRefusal));
-  LogAttempt(mReason);
+  LogFailedAttempt(mReason);
   if (aNotRun.mRefusal == Refusal::kOverloaded) {
     mRetryAfter =
       std::min(mRetryAfter.value_or(aNotRun.mRetryAfter), aNotRun.mRetryAfter);
   }
   mPlan.OnNotRun(
-    mEnded.mServer->mName, ToSetback(aNotRun.mRefusal), kHomesDecide);
+    mEnded.mServer->mName, ToSetback(aNotRun.mRefusal), kUnlimitedRetries);
   if (!mRunning.empty() && aNotRun.mRefusal != Refusal::kNoRetries) {
-    mRaceAt = Now(); // the rival never reached a server; another one may
+    mRaceAt = Now(); // this attempt reached no server; hedge again
   }
 }
 
@@ -327,20 +336,21 @@
 AttemptRun::operator()(const AttemptUnknown& aUnknown)
 {
   mReason = aUnknown.mReason;
-  LogAttempt(mReason);
+  LogFailedAttempt(mReason);
   mToken = TokenOf(mEnded);
-  mPlan.OnUnknown(kHomesDecide);
+  mPlan.OnUnknown(kUnlimitedRetries);
 }
 
 std::string
 AttemptRun::TokenOf(const RunningAttempt& aAttempt) const
 {
   const auto& box = aAttempt.mServer->mBox;
-  return MakeToken(box, mServices.mView.LifeOf(box).mIncarnation, aAttempt.mId);
+  return MakeToken(
+    box, mDependencies.mView.LifeOf(box).mIncarnation, aAttempt.mId);
 }
 
 void
-AttemptRun::LogAttempt(const std::string& aResult) const
+AttemptRun::LogFailedAttempt(const std::string& aResult) const
 {
   const auto left =
     std::chrono::duration_cast<Millis>(mContext.mDeadline - Now());
@@ -358,19 +368,19 @@
 void
 AttemptRun::LogRace(const BackendServerSpec& aServer) const
 {
-  const auto held =
+  const auto elapsed =
     std::chrono::duration_cast<Millis>(Now() - mContext.mArrival);
   LogLine(LogLevel::kInfo, "attempt_raced")
     .With("request", mContext.mRequestId)
     .With("slow_attempt", mRunning.front().mId.ToString())
     .With("server", aServer.mName.Value())
     .With("home", aServer.mBox.Value())
-    .With("held_ms", held.count())
+    .With("held_ms", elapsed.count())
     .With("usual_ms", std::chrono::duration_cast<Millis>(RaceDelay()).count());
 }
 
 CallerAnswer
-AttemptRun::GiveUp() const
+AttemptRun::MakeFailureAnswer() const
 {
   if (mPlan.OutcomeWithoutAnswer() == Outcome::kUnknown) {
     const auto reason = mRunning.empty() ? mReason : std::string("deadline");
@@ -385,7 +395,7 @@
 }
 
 CallerAnswer
-PassOn(HttpAnswer aHttp)
+ToCallerAnswer(HttpAnswer aHttp)
 {
   return { .mStatus = aHttp.mStatus,
            .mHeaders = WithoutHopHeaders(aHttp.mHeaders),
--- a/packages/entry/src/AttemptRunPriv.h
+++ b/packages/entry/src/AttemptRunPriv.h
@@ -1,4 +1,4 @@
-// The attempts of one request, until it has its final answer.
+// Runs the attempts of one request until it has its final answer.
 #pragma once
 
 #include "porttiller/entry/AttemptFilter.h"
@@ -12,13 +12,13 @@
 
 namespace porttiller {
 
-// An attempt that was sent and whose result is not known yet.
+// An attempt that has been sent and has no result yet.
 struct RunningAttempt
 {
   AttemptId mId;
   const BackendServerSpec* mServer = nullptr; // in the request's snapshot
-  bool mMayFail = false;                      // another server may follow
-  CancelFlag mCancelled;                      // of this attempt alone
+  bool mMayFail = false; // another server may be tried after it
+  CancelFlag mCancelled; // of this attempt alone
 };
 
 struct EndedAttempt
@@ -27,15 +27,15 @@
   AttemptResult mResult;
 };
 
-// Where attempts that run on other threads leave their results. Shared by the
+// Queue of results from attempts that run on other threads. Shared by the
 // request and its attempts, as an attempt may outlive its request.
 class AttemptResults
 {
 public:
   void Put(EndedAttempt aEnded);
-  // Waiting makes no sense any more, now or later.
+  // Ends the current wait and all later ones.
   void Interrupt();
-  // Null when there is none by aUntil, or it was interrupted.
+  // Null when no result arrives by aUntil or the wait is interrupted.
   std::optional<EndedAttempt> Await(TimePoint aUntil);
 
 private:
@@ -45,44 +45,45 @@
   bool mInterrupted = false;
 };
 
-// Lives on the stack of the thread that serves the request. What may be
-// repeated races: an attempt that takes unusually long gets a rival at another
-// server, and the first answer wins.
+// Lives on the stack of the thread that serves the request. Repeatable requests
+// are hedged: when an attempt takes unusually long, a second one is sent to
+// another server, and the first answer is used.
 class AttemptRun
 {
 public:
-  AttemptRun(const AttemptServices& aServices, RequestContext& aContext);
+  AttemptRun(const AttemptDependencies& aDependencies,
+             RequestContext& aContext);
 
   CallerAnswer Run();
 
-  // Each takes the result of the attempt that has just ended.
+  // Visitors for the result of the attempt in mEnded.
   void operator()(AttemptAnswered& aAnswered);
   void operator()(const AttemptNotRun& aNotRun);
   void operator()(const AttemptUnknown& aUnknown);
 
 private:
-  bool MayGoOn() const;
+  bool MayContinue() const;
   bool SendNext();
   void SendTo(const BackendServerSpec& aServer, bool aMayFail);
   void Race();
-  void AwaitOne();
-  void Take(EndedAttempt aEnded);
+  void AwaitResult();
+  void ProcessResult(EndedAttempt aEnded);
   void CancelRunning();
   Micros RaceDelay() const;
   HomeRequest MakeRequest(const RunningAttempt& aAttempt) const;
   HttpHeaders ServerHeaders() const;
-  void LogAttempt(const std::string& aResult) const;
+  void LogFailedAttempt(const std::string& aResult) const;
   void LogRace(const BackendServerSpec& aServer) const;
   std::string TokenOf(const RunningAttempt& aAttempt) const;
-  CallerAnswer GiveUp() const;
+  CallerAnswer MakeFailureAnswer() const;
 
-  const AttemptServices& mServices;
+  const AttemptDependencies& mDependencies;
   RequestContext& mContext;
   AttemptPlan mPlan;
   std::vector<RunningAttempt> mRunning;
   std::shared_ptr<AttemptResults> mResults;
   Cancellation::Watch mCallerWatch;
-  RunningAttempt mEnded; // the one whose result is being taken
+  RunningAttempt mEnded; // the one whose result is being processed
   TimePoint mRaceAt = TimePoint::max();
   bool mDone = false;
   std::string mReason = "no-server";
@@ -91,8 +92,8 @@
   std::optional<CallerAnswer> mAnswer;
 };
 
-// The server's answer as its caller gets it.
+// Converts a server's answer to the one for the caller.
 CallerAnswer
-PassOn(HttpAnswer aHttp);
+ToCallerAnswer(HttpAnswer aHttp);
 
 } // namespace porttiller
--- a/packages/entry/src/Dispatcher.cpp
+++ b/packages/entry/src/Dispatcher.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kUnreachableRetryAfter{ 200 };
 
 AttemptResult
-FromHome(HomeAnswer aAnswer)
+ToAttemptResult(HomeAnswer aAnswer)
 {
   switch (aAnswer.mOutcome) {
     case Outcome::kRun:
@@ -28,26 +28,28 @@
   return AttemptUnknown{ aAnswer.mReason };
 }
 
-AttemptFate
-ToFate(const AttemptReport& aReport, const std::string& aRequestKey)
+AttemptStatus
+ToAttemptStatus(const AttemptReport& aReport, const std::string& aRequestKey)
 {
-  AttemptFate fate{ .mState = aReport.mState, .mOutcome = aReport.mOutcome };
+  AttemptStatus attemptStatus{ .mState = aReport.mState,
+                               .mOutcome = aReport.mOutcome };
   const auto& answer = aReport.mAnswer;
   if (answer && answer->mRequestKey == aRequestKey) {
-    fate.mAnswer = answer;
+    attemptStatus.mAnswer = answer;
   }
-  return fate;
+  return attemptStatus;
 }
 
-AttemptFate
-ToFate(const wire::AttemptReply& aReply, const std::string& aRequestKey)
+AttemptStatus
+ToAttemptStatus(const wire::AttemptReply& aReply,
+                const std::string& aRequestKey)
 {
-  AttemptFate fate;
+  AttemptStatus attemptStatus;
   if (aReply.state() <= static_cast<int>(AttemptState::kForgotten)) {
-    fate.mState = static_cast<AttemptState>(aReply.state());
+    attemptStatus.mState = static_cast<AttemptState>(aReply.state());
   }
   if (aReply.outcome() <= static_cast<int>(Outcome::kUnknown)) {
-    fate.mOutcome = static_cast<Outcome>(aReply.outcome());
+    attemptStatus.mOutcome = static_cast<Outcome>(aReply.outcome());
   }
   if (aReply.has_answer()) {
     auto answer = std::make_shared<RecordedAnswer>();
@@ -55,24 +57,24 @@
     answer->mContentType = aReply.content_type();
     answer->mBody = aReply.body();
     answer->mRequestKey = aRequestKey;
-    fate.mAnswer = std::move(answer);
+    attemptStatus.mAnswer = std::move(answer);
   }
-  return fate;
+  return attemptStatus;
 }
 
 wire::Envelope
-MakeQuestion(Incarnation aNamed,
-             const AttemptId& aAttempt,
-             const std::string& aRequestKey,
-             bool aRevoke)
+MakeAttemptQuery(Incarnation aHomeIncarnation,
+                 const AttemptId& aAttempt,
+                 const std::string& aRequestKey,
+                 bool aRevoke)
 {
-  wire::Envelope question;
-  auto* body = question.mutable_attempt();
+  wire::Envelope query;
+  auto* body = query.mutable_attempt();
   body->set_attempt(aAttempt.ToString());
-  body->set_home_incarnation(aNamed.Value());
+  body->set_home_incarnation(aHomeIncarnation.Value());
   body->set_revoke(aRevoke);
   body->set_request_key(aRequestKey);
-  return question;
+  return query;
 }
 
 HttpAnswer
@@ -124,8 +126,9 @@
     aRequest.mHomeIncarnation = mHome.OwnIncarnation();
     return SendLocal(aRequest);
   }
-  // A home may outlast the caller's deadline with a lingering request; the
-  // entry must not, so it is sent as if to another box.
+  // The home may hold a lingering request past the caller's deadline, but the
+  // entry must answer by then. A local call would block, so such a request
+  // takes the remote path even to the home of this box.
   aRequest.mHomeIncarnation = mView.LifeOf(aBox.mName).mIncarnation;
   return SendRemote(aBox, aRequest);
 }
@@ -133,7 +136,7 @@
 AttemptResult
 Dispatcher::SendLocal(const HomeRequest& aRequest)
 {
-  return FromHome(mHome.Handle(aRequest));
+  return ToAttemptResult(mHome.Handle(aRequest));
 }
 
 AttemptResult
@@ -144,7 +147,7 @@
   auto exchange = PoolOf(aBox).Begin(http, aRequest.mDeadline);
   if (exchange) {
     (*exchange)->CancelWith(CancellationOf(aRequest));
-    return Await(aBox, aRequest, **exchange);
+    return AwaitAnswer(aBox, aRequest, **exchange);
   }
   if (exchange.error() == ExchangeError::kBusy) {
     return AttemptNotRun{ Refusal::kOverloaded, kUnreachableRetryAfter };
@@ -153,7 +156,7 @@
   if (exchange.error() == ExchangeError::kNotSent) {
     return AttemptNotRun{ Refusal::kUnreachable, kUnreachableRetryAfter };
   }
-  return Settle(aBox, aRequest, ToText(exchange.error()));
+  return ResolveOutcome(aBox, aRequest, ToText(exchange.error()));
 }
 
 bool
@@ -168,32 +171,33 @@
 }
 
 AttemptResult
-Dispatcher::Await(const BoxSpec& aBox,
-                  const HomeRequest& aRequest,
-                  HttpExchange& aExchange)
+Dispatcher::AwaitAnswer(const BoxSpec& aBox,
+                        const HomeRequest& aRequest,
+                        HttpExchange& aExchange)
 {
-  const auto patience = Now() + mSettings.mTiming.mAttemptPatience;
+  const auto checkAt = Now() + mSettings.mTiming.mAttemptPatience;
   const bool early =
-    WaitReadable(aRequest, aExchange, std::min(patience, aRequest.mDeadline));
+    WaitReadable(aRequest, aExchange, std::min(checkAt, aRequest.mDeadline));
   if (IsCancelled(aRequest)) {
-    return AttemptUnknown{ "caller-gone" }; // the home sees the connection end
+    // The home sees the closed connection.
+    return AttemptUnknown{ "caller-gone" };
   }
   if (early) {
-    return Read(aBox, aRequest, aExchange);
+    return ReadHomeAnswer(aBox, aRequest, aExchange);
   }
-  // A home that is alive and has it knows better than we when to give up. In a
-  // planned stop nothing is left that may be running: what comes of it is owed
-  // to the caller, and there is little time for another attempt.
-  const bool homeHasIt =
+  // A live home that runs the attempt is the better judge of when to time out.
+  // In a planned stop, an attempt that may be running is not abandoned: the
+  // caller is owed its result, and there is little time for another attempt.
+  const bool keepWaiting =
     mCutoff.IsSet() ||
     (mSettings.mFailingServers == FailingServers::kBreak &&
      Query(aBox, aRequest.mHomeIncarnation, aRequest.mAttempt, "").mState ==
        AttemptState::kRunning);
-  if (!homeHasIt) {
+  if (!keepWaiting) {
     PoolOf(aBox).DropIdle();
-    auto settled = Settle(aBox, aRequest, "slow");
-    if (!std::holds_alternative<AttemptUnknown>(settled)) {
-      return settled;
+    auto resolved = ResolveOutcome(aBox, aRequest, "slow");
+    if (!std::holds_alternative<AttemptUnknown>(resolved)) {
+      return resolved;
     }
   }
   const bool late = WaitReadable(aRequest, aExchange, aRequest.mDeadline);
@@ -201,17 +205,17 @@
     return AttemptUnknown{ "caller-gone" };
   }
   if (late) {
-    return Read(aBox, aRequest, aExchange);
+    return ReadHomeAnswer(aBox, aRequest, aExchange);
   }
-  // The caller is owed its answer now. The home has the deadline, too, and runs
-  // nothing after it.
+  // The caller must be answered now. The home knows the deadline, too, and does
+  // not start the attempt after it.
   return AttemptUnknown{ "deadline" };
 }
 
 AttemptResult
-Dispatcher::Read(const BoxSpec& aBox,
-                 const HomeRequest& aRequest,
-                 HttpExchange& aExchange)
+Dispatcher::ReadHomeAnswer(const BoxSpec& aBox,
+                           const HomeRequest& aRequest,
+                           HttpExchange& aExchange)
 {
   auto http = aExchange.ReadAnswer(mCutoff.Limit(aRequest.mDeadline),
                                    [&] { return IsCancelled(aRequest); });
@@ -222,33 +226,35 @@
     mMetrics.DroppedAnswers().Increment();
     PoolOf(aBox).DropIdle();
     mView.OnPathFailure(aBox.mName, Now());
-    return Settle(aBox, aRequest, std::string("home-") + ToText(http.error()));
+    return ResolveOutcome(
+      aBox, aRequest, std::string("home-") + ToText(http.error()));
   }
   auto decoded = DecodeHomeAnswer(std::move(*http), aRequest.mAttempt);
   if (!decoded) {
     mMetrics.DroppedAnswers().Increment();
-    return Settle(aBox, aRequest, "foreign-answer");
+    return ResolveOutcome(aBox, aRequest, "foreign-answer");
   }
   const Millis offset = decoded->mHomeClock - Millis(ToMillis(Now()));
   mView.SetLife(
     aBox.mName,
     { .mIncarnation = decoded->mIncarnation, .mClockOffset = offset });
   mView.OnPathSuccess(aBox.mName);
-  return FromHome(std::move(decoded->mAnswer));
+  return ToAttemptResult(std::move(decoded->mAnswer));
 }
 
 AttemptResult
-Dispatcher::Settle(const BoxSpec& aBox,
-                   const HomeRequest& aRequest,
-                   const std::string& aReason)
+Dispatcher::ResolveOutcome(const BoxSpec& aBox,
+                           const HomeRequest& aRequest,
+                           const std::string& aReason)
 {
-  const auto fate = Revoke(
+  const auto attemptStatus = Revoke(
     aBox, aRequest.mHomeIncarnation, aRequest.mAttempt, aRequest.mRequestKey);
-  if (fate.mState == AttemptState::kNotRun) {
+  if (attemptStatus.mState == AttemptState::kNotRun) {
     return AttemptNotRun{ Refusal::kRevoked, kUnreachableRetryAfter };
   }
-  if (fate.mState == AttemptState::kFinished && fate.mAnswer) {
-    return AttemptAnswered{ ToHttp(*fate.mAnswer), 0.0 };
+  if (attemptStatus.mState == AttemptState::kFinished &&
+      attemptStatus.mAnswer) {
+    return AttemptAnswered{ ToHttp(*attemptStatus.mAnswer), 0.0 };
   }
   LogLine(LogLevel::kWarning, "attempt_unknown")
     .With("request", aRequest.mRequestId)
@@ -258,40 +264,42 @@
   return AttemptUnknown{ aReason };
 }
 
-AttemptFate
+AttemptStatus
 Dispatcher::Query(const BoxSpec& aBox,
-                  Incarnation aNamed,
+                  Incarnation aHomeIncarnation,
                   const AttemptId& aAttempt,
                   const std::string& aRequestKey)
 {
-  return Ask(aBox, MakeQuestion(aNamed, aAttempt, aRequestKey, false));
+  return SendQuery(
+    aBox, MakeAttemptQuery(aHomeIncarnation, aAttempt, aRequestKey, false));
 }
 
-AttemptFate
+AttemptStatus
 Dispatcher::Revoke(const BoxSpec& aBox,
-                   Incarnation aNamed,
+                   Incarnation aHomeIncarnation,
                    const AttemptId& aAttempt,
                    const std::string& aRequestKey)
 {
   if (aBox.mName == mSettings.mBox) {
-    return ToFate(mHome.Revoke(aAttempt, aNamed), aRequestKey);
+    return ToAttemptStatus(mHome.Revoke(aAttempt, aHomeIncarnation),
+                           aRequestKey);
   }
   mMetrics.Revokes().Increment();
-  return Ask(aBox, MakeQuestion(aNamed, aAttempt, aRequestKey, true));
+  return SendQuery(
+    aBox, MakeAttemptQuery(aHomeIncarnation, aAttempt, aRequestKey, true));
 }
 
-AttemptFate
-Dispatcher::Ask(const BoxSpec& aBox, wire::Envelope aQuestion)
+AttemptStatus
+Dispatcher::SendQuery(const BoxSpec& aBox, wire::Envelope aQuery)
 {
-  const auto key = aQuestion.attempt().request_key();
-  const auto reply = mTransport.Call(aBox.mControlAddress,
-                                     std::move(aQuestion),
-                                     mSettings.mTiming.mRevokeTimeout);
+  const auto key = aQuery.attempt().request_key();
+  const auto reply = mTransport.Call(
+    aBox.mControlAddress, std::move(aQuery), mSettings.mTiming.mRevokeTimeout);
   if (!reply || !reply->has_attempt_reply()) {
     mView.OnPathFailure(aBox.mName, Now());
     return {};
   }
-  return ToFate(reply->attempt_reply(), key);
+  return ToAttemptStatus(reply->attempt_reply(), key);
 }
 
 } // namespace porttiller
--- a/packages/entry/src/EntryServer.cpp
+++ b/packages/entry/src/EntryServer.cpp
@@ -12,8 +12,8 @@
 
 constexpr Millis kCallerKeepAlive{ 30'000 };
 
-// In seconds. HTTP has whole ones; where callers take fractions they are told
-// the time as it is.
+// Value of the Retry-After header, in seconds. aWhole rounds up, as HTTP
+// requires; otherwise three decimals, for callers that accept fractions.
 std::string
 RetryAfterSeconds(Millis aTime, bool aWhole)
 {
@@ -30,28 +30,28 @@
 
 EntryServer::EntryServer(const Settings& aSettings,
                          SnapshotSource aSnapshot,
-                         AttemptServices aServices)
+                         AttemptDependencies aDependencies)
   : mSettings(aSettings)
   , mSnapshot(std::move(aSnapshot))
   , mNames(EdgeHeadersOf(aSettings))
-  , mServices(aServices)
+  , mDependencies(aDependencies)
   , mFilters({ VersionFilter(),
                RouteFilter(),
                WorkspaceFilter(),
-               TermsFilter(),
-               LimitFilter(aServices.mGate, aServices.mMetrics),
-               TokenFilter(aServices),
-               AttemptFilter(aServices) })
+               RequestOptionsFilter(),
+               LimitFilter(aDependencies.mGate, aDependencies.mMetrics),
+               TokenFilter(aDependencies),
+               AttemptFilter(aDependencies) })
 {
 }
 
 tl::expected<std::unique_ptr<EntryServer>, std::string>
 EntryServer::Make(const Settings& aSettings,
                   SnapshotSource aSnapshot,
-                  AttemptServices aServices)
+                  AttemptDependencies aDependencies)
 {
   std::unique_ptr<EntryServer> server(
-    new EntryServer(aSettings, std::move(aSnapshot), aServices));
+    new EntryServer(aSettings, std::move(aSnapshot), aDependencies));
   auto listener = HttpListener::Make(
     server->ListenerOptions(),
     [raw = server.get()](HttpCall& aCall) { return raw->Serve(aCall); });
@@ -119,32 +119,34 @@
 {
   auto context = MakeContext(aCall);
   auto answer = ApplyFilters(mFilters, context);
-  if (context.mCounted && answer.mOutcome == Outcome::kNotRun) {
-    mServices.mGate.GiveBack(context.mWorkspace->mName);
+  if (context.mCountedAgainstLimit && answer.mOutcome == Outcome::kNotRun) {
+    mDependencies.mGate.GiveBack(context.mWorkspace->mName);
   }
-  mServices.mMetrics.CountRequest(answer.mOutcome);
+  mDependencies.mMetrics.CountRequest(answer.mOutcome);
   if (answer.mOutcome == Outcome::kRun) {
     const auto added = Now() - context.mArrival - context.mHomeTime;
-    mServices.mMetrics.AddedLatency().Observe(
+    mDependencies.mMetrics.AddedLatency().Observe(
       std::chrono::duration<double>(added).count());
   }
   LogAnswer(context, answer);
   return ToReply(std::move(answer), context.mRequestId);
 }
 
-// Whatever a caller may complain about has a line; a plain success has none.
+// Logs each error answer, so that complaints of callers can be traced.
+// Successes are not logged.
 void
 EntryServer::LogAnswer(const RequestContext& aContext,
                        const CallerAnswer& aAnswer) const
 {
-  constexpr int kErrors = 400;
-  // LimitFilter writes a line of its own.
-  if (aAnswer.mStatus < kErrors || aAnswer.mReason == kOverLimitReason) {
+  constexpr int kFirstErrorStatus = 400;
+  // LimitFilter logs its rejections itself.
+  if (aAnswer.mStatus < kFirstErrorStatus ||
+      aAnswer.mReason == kOverLimitReason) {
     return;
   }
-  const auto held =
+  const auto elapsed =
     std::chrono::duration_cast<Millis>(Now() - aContext.mArrival);
-  const auto given =
+  const auto allowed =
     std::chrono::duration_cast<Millis>(aContext.mDeadline - aContext.mArrival);
   LogLine(LogLevel::kInfo, "request_failed")
     .With("request", aContext.mRequestId)
@@ -154,8 +156,8 @@
     .With("status", aAnswer.mStatus)
     .With("outcome", std::string(ToText(aAnswer.mOutcome)))
     .With("reason", aAnswer.mReason)
-    .With("held_ms", held.count())
-    .With("given_ms", given.count())
+    .With("held_ms", elapsed.count())
+    .With("given_ms", allowed.count())
     .With("caller_gone", aContext.mCancelled->IsCancelled() ? "yes" : "no")
     .With("revision",
           static_cast<std::int64_t>(
--- a/packages/entry/src/EntryView.cpp
+++ b/packages/entry/src/EntryView.cpp
@@ -9,24 +9,25 @@
 
 namespace {
 
+// Bounds of the time for which a server or box is avoided.
 constexpr Millis kMinAvoid{ 200 };
-// The first time; one that fails again is avoided for longer.
-constexpr Millis kPathAvoid{ 800 };
+// After the first failure; doubles with each consecutive one.
+constexpr Millis kFirstPathAvoid{ 800 };
 constexpr Millis kMaxAvoid{ 5000 };
 constexpr int kMaxAvoidDoublings = 5;
-// Of the newest answer in the share of a service's errors.
-constexpr double kAnswerWeight = 0.1;
-// A second server costs a trip; answers that come sooner are not worth it.
+// Weight of the latest answer in the moving average of a service's error rate.
+constexpr double kErrorRateSmoothing = 0.1;
+// A hedged attempt costs a round trip and does not pay for faster answers.
 constexpr Micros kMinRaceDelay{ 50'000 };
-// Of the time that a request has, while no home has told how long those of its
-// route take: callers wait for several times the usual.
+// Divides the total time of a request while no home has reported the latency of
+// its route: callers' deadlines are several times the usual latency.
 constexpr int kRaceUnknownPart = 4;
-// Of the target's 4,900 routes, spread over the shards, with room for those
-// that are replaced.
+// The target of 4,900 routes, spread over the shards, with room for replaced
+// routes, which are never removed.
 constexpr std::size_t kMaxRoutesInShard = 1000;
 
-// How a refusal changes the use of the server; null when it says nothing
-// about the next request.
+// The standing of a server after a rejection; null when the rejection says
+// nothing about the next request.
 std::optional<Standing>
 StandingAfter(Refusal aRefusal)
 {
@@ -44,9 +45,9 @@
   }
 }
 
-// Nothing is left of a report after a second.
+// Decays linearly to zero within one second.
 double
-Aged(double aLoad, Micros aAge)
+DecayedLoad(double aLoad, Micros aAge)
 {
   const double age = std::chrono::duration<double>(aAge).count();
   return aLoad * std::clamp(1.0 - age, 0.0, 1.0);
@@ -69,9 +70,9 @@
   return mServices.at(std::hash<std::string>{}(aService.Value()) % kShards);
 }
 
-// The view of a server's present start. What was learned of an earlier one is
-// dropped; null for a start that is not the present one any more. Under the
-// shard's lock.
+// The view of the current incarnation of a server. Resets the view when aServer
+// is a newer incarnation; null when it is an older one. The caller holds the
+// lock of aShard.
 EntryView::ServerView*
 EntryView::ViewOf(ServiceShard& aShard, const ServerIncarnation& aServer)
 {
@@ -91,13 +92,13 @@
   return mBoxes.at(std::hash<std::string>{}(aBox.Value()) % kShards);
 }
 
-// Counted once for each snapshot, as it is the same for all services.
+// Computed once per snapshot, as it is the same for all services.
 SubsetEntry
-EntryView::OwnPlace(const Snapshot& aSnapshot)
+EntryView::OwnSubsetEntry(const Snapshot& aSnapshot)
 {
-  const std::lock_guard lock(mOwnPlaceMutex);
-  if (aSnapshot.mSerial != 0 && aSnapshot.mSerial == mOwnPlaceSerial) {
-    return mOwnPlace;
+  const std::lock_guard lock(mSubsetEntryMutex);
+  if (aSnapshot.mSerial != 0 && aSnapshot.mSerial == mSubsetEntrySerial) {
+    return mSubsetEntry;
   }
   SubsetEntry entry{ .mEntries = 0 };
   const auto own = RingPlace(mBox.Value());
@@ -107,8 +108,8 @@
       entry.mRank += RingPlace(name.Value()) < own ? 1 : 0;
     }
   }
-  mOwnPlace = entry;
-  mOwnPlaceSerial = aSnapshot.mSerial;
+  mSubsetEntry = entry;
+  mSubsetEntrySerial = aSnapshot.mSerial;
   return entry;
 }
 
@@ -116,34 +117,36 @@
 EntryView::MakeOrder(const Snapshot& aSnapshot, const ServiceEntry& aService)
 {
   std::vector<SubsetServer> servers;
-  std::vector<Place> places;
+  std::vector<ResolvedServer> resolvedServers;
   servers.reserve(aService.mServers.size());
-  places.reserve(aService.mServers.size());
+  resolvedServers.reserve(aService.mServers.size());
   for (const auto& server : aService.mServers) {
-    Place place{ .mServer = &server, .mBox = aSnapshot.FindBox(server.mBox) };
-    place.mSameZone = place.mBox != nullptr && place.mBox->mZone == mZone;
+    ResolvedServer resolved{ .mServer = &server,
+                             .mBox = aSnapshot.FindBox(server.mBox) };
+    resolved.mSameZone =
+      resolved.mBox != nullptr && resolved.mBox->mZone == mZone;
     {
       auto& shard = ShardOf(server.mService);
       const std::lock_guard lock(shard.mMutex);
       ViewOf(shard, server.Incarnation());
-      place.mView = &shard.mServers[server.mName];
+      resolved.mView = &shard.mServers[server.mName];
     }
     {
       auto& shard = ShardOf(server.mBox);
       const std::lock_guard lock(shard.mMutex);
-      place.mBoxView = &shard.mBoxes[server.mBox];
+      resolved.mBoxView = &shard.mBoxes[server.mBox];
     }
     servers.push_back({ .mPlace = RingPlace(server.mName.Value()),
-                        .mSameZone = place.mSameZone });
-    places.push_back(place);
+                        .mSameZone = resolved.mSameZone });
+    resolvedServers.push_back(resolved);
   }
-  const auto subset = ChooseSubset(servers, OwnPlace(aSnapshot));
+  const auto subset = ChooseSubset(servers, OwnSubsetEntry(aSnapshot));
   auto order = std::make_shared<ServerOrder>();
   order->mSerial = aSnapshot.mSerial;
-  order->mSubset = subset.mSize;
-  order->mPlaces.reserve(places.size());
+  order->mSubsetSize = subset.mSize;
+  order->mResolvedServers.reserve(resolvedServers.size());
   for (const auto index : subset.mOrder) {
-    order->mPlaces.push_back(places[index]);
+    order->mResolvedServers.push_back(resolvedServers[index]);
   }
   return order;
 }
@@ -168,37 +171,37 @@
 }
 
 bool
-EntryView::PathAvoided(const Place& aPlace, TimePoint aNow) const
+EntryView::PathAvoided(const ResolvedServer& aResolved, TimePoint aNow) const
 {
-  const auto& shard = ShardOf(aPlace.mServer->mBox);
+  const auto& shard = ShardOf(aResolved.mServer->mBox);
   const std::lock_guard lock(shard.mMutex);
-  return !aPlace.mBoxView->mUsable || aNow < aPlace.mBoxView->mAvoidUntil;
+  return !aResolved.mBoxView->mUsable || aNow < aResolved.mBoxView->mAvoidUntil;
 }
 
-// Under the lock of the service's shard.
+// The caller holds the lock of the service's shard.
 Candidate
-EntryView::MakeCandidate(const Place& aPlace,
+EntryView::MakeCandidate(const ResolvedServer& aResolved,
                          const AttemptPlan& aPlan,
                          bool aMayFail,
                          TimePoint aNow) const
 {
-  Candidate candidate{ .mSlots = aPlace.mServer->mSlots };
-  if (aPlace.mBox == nullptr || !aPlan.MayUse(aPlace.mServer->mName)) {
+  Candidate candidate{ .mSlots = aResolved.mServer->mSlots };
+  if (aResolved.mBox == nullptr || !aPlan.MayUse(aResolved.mServer->mName)) {
     candidate.mStanding = Standing::kTried;
     return candidate;
   }
-  candidate.mSameZone = aPlace.mSameZone;
-  if (aPlace.mBox->mState == BoxState::kLeaving) {
+  candidate.mSameZone = aResolved.mSameZone;
+  if (aResolved.mBox->mState == BoxState::kLeaving) {
     candidate.mStanding = Standing::kClosed;
-  } else if (PathAvoided(aPlace, aNow)) {
+  } else if (PathAvoided(aResolved, aNow)) {
     candidate.mStanding = Standing::kUnreachable;
   }
-  const auto& view = *aPlace.mView;
+  const auto& view = *aResolved.mView;
   candidate.mInFlight = view.mInFlight;
-  candidate.mReportedLoad = Aged(view.mLoad, aNow - view.mLoadAt);
+  candidate.mReportedLoad = DecayedLoad(view.mLoad, aNow - view.mLoadAt);
   const bool trial = aMayFail && aNow >= view.mNoTrialUntil;
-  candidate.mTrialDue = trial && aNow < view.mBrokenUntil;
-  if (!trial && !aPlan.LastResort() && aNow < view.mBrokenUntil) {
+  candidate.mTrialDue = trial && aNow < view.mDemotedUntil;
+  if (!trial && !aPlan.LastResort() && aNow < view.mDemotedUntil) {
     candidate.mStanding = std::max(candidate.mStanding, Standing::kDemoted);
   }
   if (aNow < view.mStandingUntil) {
@@ -210,31 +213,32 @@
 void
 EntryView::AddCandidates(std::vector<Candidate>& aCandidates,
                          const ServerOrder& aOrder,
-                         std::size_t aMore,
+                         std::size_t aMaxCount,
                          const AttemptPlan& aPlan,
                          bool aMayFail,
                          TimePoint aNow) const
 {
   const auto begin = aCandidates.size();
-  const auto end = std::min(aOrder.mPlaces.size(), begin + aMore);
+  const auto end = std::min(aOrder.mResolvedServers.size(), begin + aMaxCount);
   if (begin == end) {
     return;
   }
-  auto& shard = ShardOf(aOrder.mPlaces[begin].mServer->mService);
+  auto& shard = ShardOf(aOrder.mResolvedServers[begin].mServer->mService);
   const std::lock_guard lock(shard.mMutex);
   for (auto i = begin; i < end; ++i) {
     aCandidates.push_back(
-      MakeCandidate(aOrder.mPlaces[i], aPlan, aMayFail, aNow));
+      MakeCandidate(aOrder.mResolvedServers[i], aPlan, aMayFail, aNow));
   }
 }
 
-// The subset first. While nothing in it is open, as many servers more again
-// and again: a fault that takes a whole subset leaves the rest to it.
+// Starts with the subset. While none of the candidates is open, adds as many
+// servers again, so that an outage of the whole subset leaves the others
+// usable.
 Choice
 EntryView::Choose(const Snapshot& aSnapshot,
                   const ServiceEntry& aService,
                   const AttemptPlan& aPlan,
-                  const ChoiceTerms& aTerms,
+                  const ChoiceConstraints& aConstraints,
                   TimePoint aNow)
 {
   const auto order = OrderOf(aSnapshot, aService);
@@ -242,15 +246,19 @@
   std::optional<std::size_t> chosen;
   bool open = false;
   do {
-    AddCandidates(
-      candidates, *order, order->mSubset, aPlan, aTerms.mMayFail, aNow);
+    AddCandidates(candidates,
+                  *order,
+                  order->mSubsetSize,
+                  aPlan,
+                  aConstraints.mMayFail,
+                  aNow);
     chosen = ChooseTrial(candidates, Random());
     if (!chosen) {
       chosen = ChooseServer(candidates, mOptions, Random(), Random());
     }
     open = chosen && candidates[*chosen].mStanding == Standing::kOpen;
-  } while (!open && candidates.size() < order->mPlaces.size());
-  if (aTerms.mOpenOnly && !open) {
+  } while (!open && candidates.size() < order->mResolvedServers.size());
+  if (aConstraints.mOpenOnly && !open) {
     return {};
   }
   const bool demotedLeft =
@@ -258,13 +266,15 @@
       return aEach.mStanding == Standing::kDemoted;
     });
   if (!chosen && !demotedLeft && aPlan.Attempts() == 0) {
-    // Every hint speaks against every server, and hints age: ask the homes.
+    // Every server is unusable by this view, which may be outdated: try one,
+    // and let its home decide.
     for (auto& candidate : candidates) {
       candidate.mStanding = std::min(candidate.mStanding, Standing::kAvoid);
     }
     chosen = ChooseServer(candidates, mOptions, Random(), Random());
   }
-  return { .mServer = chosen ? order->mPlaces[*chosen].mServer : nullptr,
+  return { .mServer =
+             chosen ? order->mResolvedServers[*chosen].mServer : nullptr,
            .mDemotedLeft = demotedLeft };
 }
 
@@ -320,9 +330,9 @@
   }
   const auto until = aNow + std::clamp(aRetryAfter, kMinAvoid, kMaxAvoid);
   if (!standing) {
-    view->mBrokenUntil = until;
+    view->mDemotedUntil = until;
     if (aMayFail) {
-      view->mNoTrialUntil = until; // it has its trials
+      view->mNoTrialUntil = until; // its home has enough trial requests
     }
     return;
   }
@@ -331,22 +341,23 @@
 }
 
 void
-EntryView::OnNews(const ServerNews& aNews, TimePoint aNow)
+EntryView::OnNews(const ServerNews& aUpdate, TimePoint aNow)
 {
-  auto& shard = ShardOf(aNews.mService);
+  auto& shard = ShardOf(aUpdate.mService);
   const std::lock_guard lock(shard.mMutex);
-  auto* view = ViewOf(shard, aNews.mServer);
+  auto* view = ViewOf(shard, aUpdate.mServer);
   if (view == nullptr) {
     return;
   }
-  if (!aNews.mDemoted) {
-    view->mBrokenUntil = {};
+  if (!aUpdate.mDemoted) {
+    view->mDemotedUntil = {};
     view->mNoTrialUntil = {};
     return;
   }
-  const auto retryAfter = std::clamp(aNews.mRetryAfter, kMinAvoid, kMaxAvoid);
-  view->mBrokenUntil = aNow + retryAfter;
-  // Its home needs few trials, and every receiver sends some.
+  const auto retryAfter = std::clamp(aUpdate.mRetryAfter, kMinAvoid, kMaxAvoid);
+  view->mDemotedUntil = aNow + retryAfter;
+  // The home needs few trial requests, and all receivers of the update send
+  // some: spread them over the retry time.
   const auto span = static_cast<std::uint64_t>(retryAfter.count());
   view->mNoTrialUntil =
     aNow + Millis(static_cast<Millis::rep>(Random() % span));
@@ -359,7 +370,8 @@
   const std::lock_guard lock(shard.mMutex);
   auto& view = shard.mBoxes[aBox];
   const int doublings = std::min(view.mFailures, kMaxAvoidDoublings);
-  view.mAvoidUntil = aNow + std::min(kPathAvoid * (1 << doublings), kMaxAvoid);
+  view.mAvoidUntil =
+    aNow + std::min(kFirstPathAvoid * (1 << doublings), kMaxAvoid);
   ++view.mFailures;
 }
 
@@ -373,26 +385,26 @@
   view.mAvoidUntil = {};
 }
 
-HomeLife
+HomeState
 EntryView::LifeOf(const BoxName& aBox) const
 {
   const auto& shard = ShardOf(aBox);
   const std::lock_guard lock(shard.mMutex);
   const auto it = shard.mBoxes.find(aBox);
-  return it == shard.mBoxes.end() ? HomeLife{} : it->second.mLife;
+  return it == shard.mBoxes.end() ? HomeState{} : it->second.mHomeState;
 }
 
 void
-EntryView::SetLife(const BoxName& aBox, const HomeLife& aLife)
+EntryView::SetLife(const BoxName& aBox, const HomeState& aState)
 {
   auto& shard = ShardOf(aBox);
   const std::lock_guard lock(shard.mMutex);
   auto& view = shard.mBoxes[aBox];
-  if (view.mLife.mIncarnation < aLife.mIncarnation) {
-    // What failed was the way to an earlier life.
+  if (view.mHomeState.mIncarnation < aState.mIncarnation) {
+    // The failures concern the earlier incarnation.
     view = {};
   }
-  view.mLife = aLife;
+  view.mHomeState = aState;
 }
 
 void
@@ -408,44 +420,45 @@
 {
   auto& shard = ShardOf(aService);
   const std::lock_guard lock(shard.mMutex);
-  auto& errors = shard.mErrors[aService];
-  errors += kAnswerWeight * ((aError ? 1.0 : 0.0) - errors);
+  auto& errorRate = shard.mErrorRates[aService];
+  errorRate += kErrorRateSmoothing * ((aError ? 1.0 : 0.0) - errorRate);
 }
 
 double
-EntryView::UsualErrors(const ServiceName& aService) const
+EntryView::ErrorRate(const ServiceName& aService) const
 {
   auto& shard = ShardOf(aService);
   const std::lock_guard lock(shard.mMutex);
-  const auto it = shard.mErrors.find(aService);
-  return it == shard.mErrors.end() ? 0.0 : it->second;
+  const auto it = shard.mErrorRates.find(aService);
+  return it == shard.mErrorRates.end() ? 0.0 : it->second;
 }
 
 void
-EntryView::OnUsualTime(const ServiceName& aService,
-                       const std::string& aRoute,
-                       Micros aTime)
+EntryView::OnLatencyP90(const ServiceName& aService,
+                        const std::string& aRoute,
+                        Micros aTime)
 {
   auto& shard = ShardOf(aService);
   const std::lock_guard lock(shard.mMutex);
-  const bool known = shard.mUsualTimes.contains(aRoute);
+  const bool known = shard.mLatencyP90s.contains(aRoute);
   if (aTime > Micros(0) &&
-      (known || shard.mUsualTimes.size() < kMaxRoutesInShard)) {
-    shard.mUsualTimes[aRoute] = aTime;
+      (known || shard.mLatencyP90s.size() < kMaxRoutesInShard)) {
+    shard.mLatencyP90s[aRoute] = aTime;
   }
 }
 
 Micros
 EntryView::RaceDelay(const ServiceName& aService,
                      const std::string& aRoute,
-                     Micros aGiven) const
+                     Micros aTotalTime) const
 {
   auto& shard = ShardOf(aService);
   const std::lock_guard lock(shard.mMutex);
-  const auto it = shard.mUsualTimes.find(aRoute);
-  return std::max<Micros>(
-    kMinRaceDelay,
-    it == shard.mUsualTimes.end() ? aGiven / kRaceUnknownPart : it->second);
+  const auto it = shard.mLatencyP90s.find(aRoute);
+  return std::max<Micros>(kMinRaceDelay,
+                          it == shard.mLatencyP90s.end()
+                            ? aTotalTime / kRaceUnknownPart
+                            : it->second);
 }
 
 std::string
--- a/packages/entry/src/Filters.cpp
+++ b/packages/entry/src/Filters.cpp
@@ -16,21 +16,21 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-// Of what a caller waits, left for its answer to reach it.
-constexpr Millis kWayBack{ 25 };
+// Part of the caller's deadline that is reserved for the answer to reach it.
+constexpr Millis kReturnTimeReserve{ 25 };
 constexpr std::uint64_t kMaxDeadlineMs = 600'000;
-constexpr std::size_t kMaxKeyBytes = 256;
+constexpr std::size_t kMaxRequestKeyBytes = 256;
 constexpr Millis kStartingRetryAfter{ 1000 };
 
 CallerAnswer
-RefuseAndClose(int aStatus, const std::string& aReason)
+RejectAndClose(int aStatus, const std::string& aReason)
 {
   auto answer = MakeProxyAnswer(aStatus, Outcome::kNotRun, aReason);
   answer.mCloseConnection = true;
   return answer;
 }
 
-// The host that a route may name: without its port, in lower case.
+// The Host header in the form used by routes: lower case, without the port.
 std::string
 HostOf(const HttpHeaders& aHeaders)
 {
@@ -43,7 +43,7 @@
   return host;
 }
 
-// One of the targets, each as often as its weight says.
+// Picks one of the targets at random, in proportion to their weights.
 const RouteTarget&
 DrawTarget(const RouteSpec& aRoute)
 {
@@ -55,7 +55,7 @@
   for (const auto& target : targets) {
     sum += static_cast<std::uint64_t>(target.mWeight);
   }
-  assert(sum > 0); // ParseResource sees to it
+  assert(sum > 0); // ensured by ParseResource
   auto draw = Random() % std::max<std::uint64_t>(1, sum);
   for (const auto& target : targets) {
     const auto weight = static_cast<std::uint64_t>(target.mWeight);
@@ -67,8 +67,8 @@
   return targets.back();
 }
 
-// A path that every reader takes for the same one: from the root, no second
-// slash that could begin an authority, no dot segments to resolve.
+// True for a path that all parsers read alike: absolute, not starting with "//"
+// (which could begin an authority), without dot segments to resolve.
 bool
 IsPlainPath(const std::string& aTarget, const std::string& aPath)
 {
@@ -118,7 +118,7 @@
 {
   const auto& version = aContext.mHttp.mVersion;
   if (version != "HTTP/1.1" && version != "HTTP/1.0") {
-    return RefuseAndClose(kBadRequest, "bad-version");
+    return RejectAndClose(kBadRequest, "bad-version");
   }
   return std::nullopt;
 }
@@ -129,10 +129,10 @@
   try {
     aContext.mPath = Poco::URI(aContext.mHttp.mTarget).getPath();
   } catch (const Poco::Exception&) {
-    return RefuseAndClose(kBadRequest, "bad-target");
+    return RejectAndClose(kBadRequest, "bad-target");
   }
   if (!IsPlainPath(aContext.mHttp.mTarget, aContext.mPath)) {
-    return RefuseAndClose(kBadRequest, "bad-target");
+    return RejectAndClose(kBadRequest, "bad-target");
   }
   if (!aContext.mSnapshot || aContext.mSnapshot->mRevision == 0) {
     auto answer =
@@ -152,7 +152,7 @@
 }
 
 std::optional<CallerAnswer>
-TermsFilter::Apply(RequestContext& aContext) const
+RequestOptionsFilter::Apply(RequestContext& aContext) const
 {
   const auto& headers = aContext.mHttp.mHeaders;
   auto budget = aContext.mService->mSpec.mDefaultDeadline;
@@ -160,9 +160,9 @@
   if (!deadline.empty()) {
     const auto millis = ParseUnsigned(deadline);
     if (!millis || *millis == 0 || *millis > kMaxDeadlineMs) {
-      return RefuseAndClose(kBadRequest, "bad-deadline");
+      return RejectAndClose(kBadRequest, "bad-deadline");
     }
-    budget = std::max(Millis(1), Millis(*millis) - kWayBack);
+    budget = std::max(Millis(1), Millis(*millis) - kReturnTimeReserve);
   }
   if (aContext.mRoute->mTimeout) {
     budget = std::min(budget, *aContext.mRoute->mTimeout);
@@ -171,7 +171,7 @@
 
   const auto repeatable = HeaderValue(headers, hop::kRepeatable);
   if (!repeatable.empty() && repeatable != "yes" && repeatable != "no") {
-    return RefuseAndClose(kBadRequest, "bad-repeatable");
+    return RejectAndClose(kBadRequest, "bad-repeatable");
   }
   aContext.mRepeatable = aContext.mRoute->mRepeatable.value_or(
     IsRepeatableMethod(aContext.mHttp.mMethod));
@@ -180,8 +180,8 @@
   }
   aContext.mRequestKey = HeaderValue(headers, hop::kRequestKey);
   aContext.mToken = HeaderValue(headers, hop::kToken);
-  if (aContext.mRequestKey.size() > kMaxKeyBytes) {
-    return RefuseAndClose(kBadRequest, "bad-request-key");
+  if (aContext.mRequestKey.size() > kMaxRequestKeyBytes) {
+    return RejectAndClose(kBadRequest, "bad-request-key");
   }
   return std::nullopt;
 }
--- a/packages/entry/src/WorkspaceFilters.cpp
+++ b/packages/entry/src/WorkspaceFilters.cpp
@@ -9,10 +9,10 @@
 constexpr int kUnauthorized = 401;
 constexpr int kTooManyRequests = 429;
 
-// Takes the headers of this name out. Null unless there was exactly one, and
-// it was not empty.
+// Removes all headers of this name. Returns the value if there was exactly one
+// and it was not empty, else null.
 std::optional<std::string>
-TakeOnly(HttpHeaders& aHeaders, const std::string& aName)
+TakeSingleHeader(HttpHeaders& aHeaders, const std::string& aName)
 {
   auto value = HeaderValue(aHeaders, aName);
   const bool only = RemoveHeader(aHeaders, aName) == 1 && !value.empty();
@@ -48,7 +48,7 @@
 WorkspaceFilter::Apply(RequestContext& aContext) const
 {
   auto& headers = aContext.mHttp.mHeaders;
-  const auto key = TakeOnly(headers, aContext.mNames.mKey);
+  const auto key = TakeSingleHeader(headers, aContext.mNames.mKey);
   RemoveHeader(headers, aContext.mNames.mWorkspace);
   aContext.mPriority = aContext.mRoute->mPriority;
   const auto& workspaces = *aContext.mSnapshot->mWorkspaces;
@@ -75,7 +75,7 @@
   }
   const auto verdict =
     mGate.Offer(*aContext.mWorkspace, aContext.mRoute->mPriority);
-  aContext.mCounted = verdict.mAdmitted;
+  aContext.mCountedAgainstLimit = verdict.mAdmitted;
   if (verdict.mAdmitted) {
     return std::nullopt;
   }
--- a/packages/entry/src/WorkspaceGate.cpp
+++ b/packages/entry/src/WorkspaceGate.cpp
@@ -10,12 +10,12 @@
 }
 
 LimitVerdict
-WorkspaceGate::Offer(const WorkspaceSpec& aWorkspace, Priority aKind)
+WorkspaceGate::Offer(const WorkspaceSpec& aWorkspace, Priority aPriority)
 {
   const RequestLimit limit{ .mRatePerSecond = aWorkspace.mRatePerSecond,
                             .mBurst = aWorkspace.mBurst };
   const std::lock_guard lock(mMutex);
-  return mGate.Offer(aWorkspace.mName, limit, aKind, Now(), Random());
+  return mGate.Offer(aWorkspace.mName, limit, aPriority, Now(), Random());
 }
 
 void
@@ -33,10 +33,10 @@
 }
 
 void
-WorkspaceGate::OnReply(std::uint64_t aQuestion, bool aReplied)
+WorkspaceGate::OnReply(std::uint64_t aQuery, bool aReplied)
 {
   const std::lock_guard lock(mMutex);
-  mReporter.OnReply(aQuestion, aReplied, Now());
+  mReporter.OnReply(aQuery, aReplied, Now());
 }
 
 void
--- a/packages/entry/tests/EntryViewTest.cpp
+++ b/packages/entry/tests/EntryViewTest.cpp
@@ -10,7 +10,7 @@
 const TimePoint kStart{ Millis(100'000) };
 constexpr int kDraws = 400;
 
-// Two servers, each on a box in another zone than the entry.
+// Two servers on different boxes, both in other zones than the entry.
 Snapshot
 MakeSnapshot()
 {
@@ -28,7 +28,7 @@
   return snapshot;
 }
 
-// How often the first server is chosen.
+// Counts how often the first server is chosen in kDraws requests.
 int
 CountFirst(EntryView& aView, const Snapshot& aSnapshot, TimePoint aNow)
 {
@@ -47,10 +47,10 @@
 
 } // namespace
 
-TEST_CASE("A reported load steers requests away, and ages")
+TEST_CASE("A high reported load diverts requests and decays")
 {
-  // Found by the fault matrix: a load reported just before its home died kept
-  // all requests away from its next life, and so was never corrected.
+  // Without decay, a load reported just before a home dies keeps all requests
+  // from its next incarnation, so that no new report corrects it.
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
   const auto& first = snapshot.mServices.begin()->second.mServers[0];
@@ -59,7 +59,7 @@
   CHECK(CountFirst(view, snapshot, kStart + Millis(2000)) > kDraws / 3);
 }
 
-TEST_CASE("A path that fails is avoided for a while and then tried again")
+TEST_CASE("A box is avoided after a path failure and tried again later")
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
@@ -68,7 +68,7 @@
   CHECK(CountFirst(view, snapshot, kStart + Millis(6000)) > 0);
 }
 
-TEST_CASE("A box that started anew is used at once")
+TEST_CASE("A box with a new incarnation is used at once")
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
@@ -82,15 +82,15 @@
   CHECK(CountFirst(view, snapshot, kStart) > 0);
 }
 
-TEST_CASE("A home's news keeps requests away until it tells the opposite")
+TEST_CASE("A demoted server gets no requests until an update reopens it")
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
-  ServerNews news{ .mServer = ServerIncarnation(BackendServerName("a")),
-                   .mService = ServiceName("ledger"),
-                   .mDemoted = true,
-                   .mRetryAfter = Millis(4000) };
-  view.OnNews(news, kStart);
+  ServerNews update{ .mServer = ServerIncarnation(BackendServerName("a")),
+                     .mService = ServiceName("ledger"),
+                     .mDemoted = true,
+                     .mRetryAfter = Millis(4000) };
+  view.OnNews(update, kStart);
   const auto& service = snapshot.mServices.begin()->second;
   const auto choose = [&](TimePoint aNow) {
     return view.Choose(snapshot, service, AttemptPlan(false), {}, aNow)
@@ -99,12 +99,12 @@
   for (int i = 0; i < kDraws; ++i) {
     CHECK(choose(kStart + Millis(3900)) == BackendServerName("b"));
   }
-  news.mDemoted = false;
-  view.OnNews(news, kStart + Millis(1000));
+  update.mDemoted = false;
+  view.OnNews(update, kStart + Millis(1000));
   CHECK(CountFirst(view, snapshot, kStart + Millis(1000)) > kDraws / 3);
 }
 
-TEST_CASE("An entry that missed the news of an open server asks in the end")
+TEST_CASE("A demotion expires when the update that ends it is lost")
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
@@ -116,7 +116,7 @@
   CHECK(CountFirst(view, snapshot, kStart + Millis(5000)) > kDraws / 3);
 }
 
-TEST_CASE("A request that may fail goes to a demoted server whose trial is due")
+TEST_CASE("Requests that may fail are trials of a demoted server once due")
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
@@ -126,10 +126,10 @@
                 .mDemoted = true,
                 .mRetryAfter = retryAfter },
               kStart);
-  // Its time comes within the retry time, and then every such request goes.
+  // The trial is due within the retry time; then all such requests are trials.
   const auto due = kStart + retryAfter - Millis(1);
   CHECK(CountFirst(view, snapshot, due) == kDraws);
-  // Its home had a trial already: not before the news is old.
+  // The home rejected a trial: no other one before the retry time is over.
   const auto& first = snapshot.mServices.begin()->second.mServers[0];
   view.OnRefused(first, Refusal::kDemoted, retryAfter, true, due);
   CHECK(CountFirst(view, snapshot, due + Millis(1000)) == 0);
@@ -139,7 +139,7 @@
 
 constexpr int kManyServers = 266;
 
-// Each on a box of its own, in five zones; the entry's box is one of them.
+// One server per box, in five zones; the entry's box is one of them.
 Snapshot
 MakeLargeSnapshot()
 {
@@ -176,14 +176,14 @@
 
 } // namespace
 
-TEST_CASE("Of hundreds of servers an entry works with twenty")
+TEST_CASE("An entry uses a subset of at most 20 of several hundred servers")
 {
   const auto snapshot = MakeLargeSnapshot();
   EntryView view(BoxName("box-7"), AvailabilityZone("zone-2"), {});
   CHECK(ChosenOf(view, snapshot, kStart).size() <= 20);
 }
 
-TEST_CASE("An entry whose whole subset is demoted works with others")
+TEST_CASE("An entry uses servers beyond its subset when all of it is demoted")
 {
   const auto snapshot = MakeLargeSnapshot();
   EntryView view(BoxName("box-7"), AvailabilityZone("zone-2"), {});
@@ -204,7 +204,7 @@
   CHECK(demoted.size() > 20);
 }
 
-TEST_CASE("What was learned of an earlier start of a server is dropped")
+TEST_CASE("State of an earlier incarnation of a server is discarded")
 {
   auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
@@ -224,7 +224,7 @@
   CHECK(CountFirst(view, snapshot, kStart) == 0);
   server.mStartMs = 2000;
   CHECK(CountFirst(view, snapshot, kStart) > kDraws / 3);
-  // What is still reported of the earlier start changes nothing.
+  // Late reports about the earlier incarnation are ignored.
   closeIt(first);
   view.OnEnded(first);
   view.OnLoad(first, 9.0, kStart);
--- a/packages/entry/tests/WorkspaceFiltersTest.cpp
+++ b/packages/entry/tests/WorkspaceFiltersTest.cpp
@@ -8,7 +8,7 @@
 
 const EdgeHeaders kNames{ .mKey = "Key", .mWorkspace = "Workspace" };
 
-// A request on one route, with a configuration of two workspaces.
+// Makes requests for one route, with two workspaces configured.
 class Fixture
 {
 public:
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("A key names its workspace and goes no further")
+TEST_CASE("An API key selects its workspace and is not forwarded")
 {
   Fixture fixture;
   auto context = fixture.Request(
@@ -71,7 +71,7 @@
   CHECK(plain.mPriority == Priority::kSheddable);
 }
 
-TEST_CASE("Missing, empty, unknown and doubled keys are turned away")
+TEST_CASE("Missing, empty, unknown and repeated API keys are rejected")
 {
   Fixture fixture;
   CHECK(fixture.StatusOf({}) == 401);
@@ -89,7 +89,7 @@
   CHECK(answer->mBody.find("four") == std::string::npos);
 }
 
-TEST_CASE("Public routes ask for no key, nor does anybody without workspaces")
+TEST_CASE("Public routes and configurations without workspaces need no key")
 {
   Fixture fixture;
   fixture.mRoute.mPublic = true;
@@ -107,7 +107,7 @@
   CHECK(context.mHttp.mHeaders.empty());
 }
 
-TEST_CASE("Each request is judged by the configuration that it met")
+TEST_CASE("Each request is checked against the configuration in force")
 {
   Fixture fixture;
   CHECK(fixture.StatusOf({ { "Key", "one" } }) == 0);
@@ -116,7 +116,7 @@
   CHECK(fixture.StatusOf({ { "Key", "two" } }) == 0);
 }
 
-TEST_CASE("Beyond a share requests get 429 and a time to come back")
+TEST_CASE("Requests over the admitted share get 429 and a retry time")
 {
   Fixture fixture;
   WorkspaceGate gate;
@@ -132,7 +132,7 @@
     REQUIRE_FALSE(WorkspaceFilter().Apply(context));
     const auto answer = filter.Apply(context);
     admitted += answer ? 0 : 1;
-    CHECK(context.mCounted == !answer);
+    CHECK(context.mCountedAgainstLimit == !answer);
     if (answer) {
       CHECK(answer->mStatus == 429);
       CHECK(answer->mOutcome == Outcome::kNotRun);
@@ -140,9 +140,9 @@
     }
   }
   CHECK(admitted == kRequests / 4);
-  // One without a limit is not counted at all.
+  // A workspace without a limit is not counted.
   auto context = fixture.Request({ { "Key", "three" } });
   REQUIRE_FALSE(WorkspaceFilter().Apply(context));
   CHECK_FALSE(filter.Apply(context));
-  CHECK_FALSE(context.mCounted);
+  CHECK_FALSE(context.mCountedAgainstLimit);
 }
