--- a/packages/control/include/porttiller/control/BoxRecordStore.h
+++ b/packages/control/include/porttiller/control/BoxRecordStore.h
@@ -1,4 +1,4 @@
-// The records of boxes as they stand in the platform's store.
+// Reads and writes the records of boxes in the platform's store.
 #pragma once
 
 #include "porttiller/config/BoxRecord.h"
@@ -11,50 +11,49 @@
 
 namespace porttiller {
 
-// What came of a write of the own record.
+// The result of writing this box's own record.
 struct RecordWrite
 {
   bool mWritten = false;
-  // Not written: a record of an earlier incarnation of the box stands there.
+  // Not written: the store holds this record of an earlier incarnation.
   std::optional<BoxRecord> mEarlier;
 };
 
-// Objects of other writers under the own name are neither replaced nor deleted:
-// the own record then stands under the spare name. Owned by the directory
-// controller. Thread-safe: reads and writes of the own record come one at a
-// time. Logs writes that fail; a read that fails is reported by its caller.
+// Never replaces or deletes another writer's object: if one has this box's
+// record name, the record is stored under the spare name. Owned by the
+// directory controller. Thread-safe: reads and writes of the own record are
+// serialized. Logs failed writes; the caller reports failed reads.
 class BoxRecordStore
 {
 public:
-  // Within kCallTimeout, or kAckTimeout for what a server's acknowledgement
-  // waits for.
+  // Calls time out after kCallTimeout, or kAckTimeout if the acknowledgement of
+  // a server's message waits for them.
   BoxRecordStore(const Settings& aSettings, UnreadableListener aOnUnreadable);
 
-  // What an earlier incarnation of this box has left; nothing inside when it
-  // left nothing.
+  // The record of an earlier incarnation of this box; null if there is none.
   tl::expected<std::optional<BoxRecord>, StoreError> ReadOwn();
-  // Creates or replaces the own record. A second try replaces what an earlier
-  // incarnation left.
+  // Creates or replaces the own record. A record of an earlier incarnation is
+  // returned by the first call and replaced by the next one.
   RecordWrite Write(const BoxRecord& aRecord, bool aForAck);
-  // All records that can be read.
+  // All readable records; reports the others as unreadable.
   tl::expected<std::vector<BoxRecord>, StoreError> ReadAll();
-  // Ends calls that wait.
+  // Ends pending calls.
   void Abort();
 
 private:
   ObjectKey OwnKey() const { return BoxRecordKey(mBox, mPlace); }
-  std::optional<BoxRecord> OwnRecordIn(const Object& aObject);
+  std::optional<BoxRecord> ParseOwnRecord(const Object& aObject);
   tl::expected<std::uint64_t, StoreError> Put(ObjectClient& aClient,
                                               const BoxRecord& aRecord);
-  RecordWrite TakeConflict(ObjectClient& aClient, const BoxRecord& aRecord);
-  bool UseSpare();
+  RecordWrite ResolveConflict(ObjectClient& aClient, const BoxRecord& aRecord);
+  bool SwitchToSpareName();
 
   const BoxName mBox;
   const UnreadableListener mOnUnreadable;
-  std::mutex mMutex; // one call for the own record at a time
+  std::mutex mMutex; // serializes calls for the own record
   BoxRecordPlace mPlace = BoxRecordPlace::kUsual; // under mMutex
-  std::uint64_t mVersion = 0; // of the own object there; under mMutex
-  ObjectClient mClient;       // of the thread that keeps the record up to date
+  std::uint64_t mVersion = 0; // of the object at mPlace, 0: none; under mMutex
+  ObjectClient mClient;       // of the thread that updates the record
   ObjectClient mAckClient;    // under mMutex
 };
 
--- a/packages/control/include/porttiller/control/ConfigController.h
+++ b/packages/control/include/porttiller/control/ConfigController.h
@@ -1,6 +1,6 @@
 // Holds the configuration in force. A few watchers in each availability zone
-// follow the platform; everyone else learns of changes from peers, and keeps
-// the last good configuration while the platform is away.
+// watch the platform; other boxes learn of changes from peers. Every box keeps
+// the last good configuration while the platform is unreachable.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -25,27 +25,27 @@
 
 namespace porttiller {
 
-// Called after each switch, in order, never two at a time.
+// Called with each new snapshot, in order and never concurrently.
 using SnapshotListener = std::function<void(const SnapshotPtr&)>;
 
-// What the controller asks of membership.
+// What the controller needs from membership.
 struct ConfigPeers
 {
   std::function<std::vector<BoxName>()> mLiveBoxes;
   std::function<std::vector<BoxSpec>(const SpreadOptions&)> mSpreadPeers;
 };
 
-// Where a delta came from, for the log.
+// The origin of a delta, for the log.
 struct ConfigSource
 {
   const char* mKind = ""; // "platform", "seed" or "peer"
   std::string mPeer;      // the control address of a seed or peer
 };
 
-// What this node knows of the store.
-struct StoreKnowledge
+// Progress of this node in reading the store.
+struct StoreStatus
 {
-  std::uint64_t mCursor = 0;              // where the next watch goes on
+  std::uint64_t mCursor = 0;              // store revision to watch from
   std::optional<Millis> mSinceLastAnswer; // null before the first one
 };
 
@@ -61,54 +61,57 @@
     UnreadableListener aOnUnreadable = [](const auto&) {});
   ~ConfigController();
 
-  // Before Start.
+  // Call before Start.
   void AddListener(SnapshotListener aListener);
-  // Listeners hear of what peers have told before now.
+  // Calls the listeners with the current snapshot if peers have already sent
+  // one.
   void Start();
   void Stop();
 
-  // The boxes and servers that told about themselves; switches as a new
-  // configuration does.
+  // Sets the boxes and servers that registered themselves, and builds a new
+  // snapshot as for a new configuration.
   void SetDirectory(std::vector<BoxRecord> aRecords);
 
-  // Null until anything is known; its revision is 0 until that is a
-  // configuration.
+  // Null before the first snapshot; its revision is 0 while only the directory
+  // is known.
   SnapshotPtr Current() const;
-  // This node's revision and digest; the address is left empty.
+  // This node's configuration revision and digest, without the address.
   PeerRevision Own() const;
   bool PlatformReachable() const { return mPlatformReachable; }
-  StoreKnowledge Store() const;
+  StoreStatus Store() const;
   bool IsWatcher() const { return Place().has_value(); }
   bool IsFirstWatcher() const;
 
-  // A peer holds this revision: one that is ahead is asked for what lacks
-  // here. Does not block.
+  // A peer reported its revision. Requests a delta if the peer is ahead. Does
+  // not block.
   void OnPeerRevision(const PeerRevision& aPeer);
-  // What a peer at this revision lacks.
+  // Replies with the changes after the peer's revision.
   wire::Envelope OnDeltaRequest(const wire::DeltaRequest& aRequest) const;
   void OnAnnounce(const wire::Envelope& aRequest);
 
-  // Takes over a delta if it is newer and joins what is held.
+  // Applies a delta that is newer than the held objects and leaves no gap after
+  // them.
   tl::expected<void, ApplyError> Apply(const ObjectDelta& aDelta,
                                        const ConfigSource& aSource);
 
 private:
-  // Among the watchers of the zone; null for all other boxes.
+  // This box's place among the watchers of its zone; null if it is none.
   std::optional<WatchPlace> Place() const;
   void Run();
-  void MeetOthers();
-  bool HeardPeers() const;
-  void FollowPlatform();
-  void TakeFromStore(const ObjectDelta& aDelta);
-  void Switch(const SnapshotPtr& aSnapshot);
-  void AskSeeds();
-  void Pull(const std::string& aAddress);
-  void EndPull(const std::string& aAddress, bool aAnswered);
-  void TakeFromPeer(const std::string& aAddress, const wire::Envelope& aAnswer);
-  // Asks the peers that are known to be ahead.
-  void AskPeers();
+  void WaitForPeers();
+  bool HeardFromPeers() const;
+  void ReadPlatform();
+  void ApplyStoreDelta(const ObjectDelta& aDelta);
+  void NotifyListeners(const SnapshotPtr& aSnapshot);
+  void QuerySeeds();
+  void RequestDelta(const std::string& aAddress);
+  void OnDeltaRequestEnded(const std::string& aAddress, bool aAnswered);
+  void ApplyPeerDelta(const std::string& aAddress,
+                      const wire::Envelope& aAnswer);
+  // Requests deltas from peers that are known to be ahead.
+  void RequestDeltas();
   void Announce(std::uint64_t aRevision, const SpreadOptions& aSpread);
-  void NotePlatform(bool aReachable, const std::string& aDetail);
+  void SetPlatformReachable(bool aReachable, const std::string& aDetail);
   void LogRefused(const ObjectDelta& aDelta,
                   ApplyError aError,
                   const ConfigSource& aSource);
@@ -123,23 +126,24 @@
   const ConfigPeers mPeers;
   const UnreadableListener mOnUnreadable;
   std::vector<SnapshotListener> mListeners;
-  std::mutex mApplyMutex; // one switch at a time, listeners included
+  std::mutex mApplyMutex; // serializes new snapshots and listener calls
   mutable std::mutex mMutex;
-  ObjectSet mObjects;                    // under mMutex
-  SnapshotBuilder mBuilder;              // under mApplyMutex
-  std::vector<BoxRecord> mDirectory;     // under mMutex
-  SnapshotPtr mCurrent;                  // under mMutex
-  StoreCursor mCursor;                   // of mThread
-  WatchTurns mTurns;                     // of mThread
-  std::atomic<std::uint64_t> mRead{ 0 }; // its place, for other threads
-  std::atomic<TimePoint> mStoreAnswered{ TimePoint{} };
+  ObjectSet mObjects;                // under mMutex
+  SnapshotBuilder mBuilder;          // under mApplyMutex
+  std::vector<BoxRecord> mDirectory; // under mMutex
+  SnapshotPtr mCurrent;              // under mMutex
+  StoreCursor mCursor;               // of mThread
+  WatchTurns mWatchTurns;            // of mThread
+  // The revision of mCursor, for other threads.
+  std::atomic<std::uint64_t> mReadRevision{ 0 };
+  std::atomic<TimePoint> mLastStoreReplyAt{ TimePoint{} };
   std::atomic<bool> mPlatformReachable{ false };
-  std::atomic<TimePoint> mHeardPeer{ TimePoint{} }; // of a revision
-  CatchUp mCatchUp;                                 // under mMutex
+  std::atomic<TimePoint> mLastPeerRevisionAt{ TimePoint{} };
+  CatchUp mCatchUp; // under mMutex
   std::atomic<bool> mStop{ false };
   std::condition_variable mWake;
   ObjectClient mClient; // of mThread
-  Worker mWorker;       // applies what peers send
+  Worker mWorker;       // applies peers' deltas
   std::thread mThread;
 };
 
--- a/packages/control/include/porttiller/control/ControlCodec.h
+++ b/packages/control/include/porttiller/control/ControlCodec.h
@@ -1,4 +1,4 @@
-// Policy and configuration values as control messages, and back.
+// Converts policy and configuration values to control messages and back.
 #pragma once
 
 #include "porttiller/config/Directory.h"
@@ -16,7 +16,7 @@
 EncodeMembers(const std::vector<MemberUpdate>& aUpdates,
               google::protobuf::RepeatedPtrField<wire::Member>& aMembers);
 
-// Entries with an unknown state are left out.
+// Skips members with an unknown state.
 std::vector<MemberUpdate>
 DecodeMembers(const google::protobuf::RepeatedPtrField<wire::Member>& aMembers);
 
@@ -29,6 +29,7 @@
 wire::BoxRecords
 EncodeRecords(const std::vector<BoxRecord>& aRecords);
 
+// Records that cannot be parsed are listed as unreadable.
 BoxRecordList
 DecodeRecords(const wire::BoxRecords& aMessage);
 
@@ -43,14 +44,14 @@
 void
 EncodeUses(const WorkspaceUses& aUses, wire::WorkspaceReport& aReport);
 
-// Uses that no entry can have counted are left out.
+// Skips uses with implausibly large counts or a wrong number of priorities.
 WorkspaceUses
 DecodeUses(const wire::WorkspaceReport& aReport);
 
 void
 EncodeGrants(const WorkspaceGrants& aGrants, wire::WorkspaceGrants& aMessage);
 
-// Grants without a share for each priority are left out.
+// Skips grants without a share for each priority.
 WorkspaceGrants
 DecodeGrants(const wire::WorkspaceGrants& aMessage);
 
--- a/packages/control/include/porttiller/control/DirectoryController.h
+++ b/packages/control/include/porttiller/control/DirectoryController.h
@@ -1,7 +1,7 @@
-// Which boxes and backend servers there are, where no operator lists them. Each
-// box writes a record of itself and its server to the platform's store when it
-// changes, and tells its peers; they pass it on. The store is read at the start
-// of a box; after that digests on membership's probes find what got lost.
+// Discovers boxes and backend servers that no operator lists. Each box writes a
+// record of itself and its server to the platform's store when it changes, and
+// sends it to peers, which forward it. A box reads the store when it starts;
+// after that, digests on membership probes reveal records that were lost.
 #pragma once
 
 #include "porttiller/config/Directory.h"
@@ -26,25 +26,25 @@
 
 struct DirectoryHooks
 {
-  // The directory changed. Called one at a time, without the lock.
+  // The directory changed. Never called concurrently or under mMutex.
   std::function<void(std::vector<BoxRecord>)> mOnChange;
-  // The own server takes nothing new from now on; called before its message is
-  // acknowledged.
+  // This box's server accepts no new requests from now on; called before its
+  // message is acknowledged.
   std::function<void(const ServerIncarnation&)> mOnServerLeaving;
   std::function<std::vector<BoxSpec>(std::size_t)> mRandomPeers;
   std::function<std::vector<BoxSpec>(const SpreadOptions&)> mSpreadPeers;
-  // Objects that cannot be read and were left out.
+  // Reports objects that were skipped as unreadable.
   UnreadableListener mOnUnreadable = [](const auto&) {};
-  // This box is the one of its zone that reads the store's list now and then.
+  // Whether this box is the one of its zone that lists the store periodically.
   std::function<bool()> mReadsList = [] { return false; };
 };
 
 // Why a server's message is not acknowledged.
 enum class RegistrationError
 {
-  kStarting, // what this box recorded before its restart is not known yet
-  kNotKept,  // neither the store nor a peer holds it
-  kForeign   // it is not of the server in use
+  kStarting,  // this box's record from before its restart is not loaded yet
+  kNotStored, // neither the store nor a peer confirmed the record
+  kForeign    // it is not from the server in use
 };
 
 const char*
@@ -62,22 +62,23 @@
 
   void Start();
   void Stop();
-  // This box leaves: its peers are told.
+  // Sends peers a record that says that this box is leaving.
   void Leave();
 
-  // A message of the server beside this box. Returns once it may be
-  // acknowledged: what it says will then hold in a next life of this box, too.
+  // Handles a message of this box's server. Returns once the message may be
+  // acknowledged: its effect then survives a restart of this box.
   tl::expected<void, RegistrationError> Take(const ServerMessage& aMessage);
 
-  // Peers' messages.
+  // Handlers of peers' messages.
   void OnRecords(const wire::BoxRecords& aMessage);
   wire::Envelope OnDirectoryRequest(const wire::DirectoryRequest& aRequest);
-  // A peer's digest: a lasting difference is asked about. Does not block.
+  // Requests records from the peer if the digests have differed for a while.
+  // Does not block.
   void OnPeerDigest(const PeerRevision& aPeer);
 
   std::uint64_t Digest() const;
-  // What earlier lives and other boxes have told is known, from the store or
-  // from peers, or neither has answered for long.
+  // True once the records of earlier incarnations and of other boxes are loaded
+  // from the store or peers, or kMaxLoadWait has passed without an answer.
   bool Usable() const;
 
 private:
@@ -85,49 +86,52 @@
   bool LoadFromStore();
   bool ReadOwn();
   bool ReadList();
-  bool LearnFromPeers();
+  bool WaitForPeerRecords();
   void KeepUpToDate();
   bool WriteOwn(bool aForAck);
-  void AskSeeds();
+  void QuerySeeds();
   void Adopt(const BoxRecord& aOwn);
-  void RaiseOwn();
+  void AdvanceOwnRevision();
   void Merge(const std::vector<BoxRecord>& aRecords, const char* aSource);
   void Publish();
-  // Publishes and passes on soon, together with what else comes until then.
-  void PlanBatch();
+  // Schedules one batch that publishes and forwards all changes until then.
+  void ScheduleBatch();
   void PublishBatch();
   void Push(const std::vector<BoxRecord>& aRecords,
             const SpreadOptions& aSpread);
   void Request(const std::string& aAddress);
-  bool KeepAtPeers(const BoxRecord& aRecord);
-  bool Keep(const BoxRecord& aRecord);
+  bool StoreAtPeers(const BoxRecord& aRecord);
+  bool StoreDurably(const BoxRecord& aRecord);
   void Sleep(Millis aTime);
-  void LogServer(const ServerMessage& aMessage, RegistrarVerdict aVerdict);
+  void LogServerMessage(const ServerMessage& aMessage,
+                        RegistrarVerdict aVerdict);
 
   const Settings& mSettings;
   PeerTransport& mTransport;
   const DirectoryHooks mHooks;
   mutable std::mutex mMutex;
   std::condition_variable mWake;
-  Directory mDirectory;          // under mMutex
-  Registrar mRegistrar;          // under mMutex
-  BoxRecord mOwn;                // under mMutex
-  std::uint64_t mWritten = 0;    // revision that the store holds; under mMutex
-  std::uint64_t mPeerDigest = 0; // a difference seen once; under mMutex
-  TimePoint mPeerDigestSince;
+  Directory mDirectory;               // under mMutex
+  Registrar mRegistrar;               // under mMutex
+  BoxRecord mOwn;                     // under mMutex
+  std::uint64_t mWrittenRevision = 0; // of the own record; under mMutex
+  // Digest of a peer that differed, 0: none; under mMutex, as the next two.
+  std::uint64_t mDifferingDigest = 0;
+  TimePoint mDifferingSince;
   TimePoint mNextRequest;
-  bool mServerKnown = false; // under mMutex
-  bool mHeardPeer = false;   // of other boxes, from one; under mMutex
-  Batcher mBatcher;          // under mMutex
-  // News that peers told, to be passed on with the next batch; under mMutex.
-  std::map<BoxName, BoxRecord> mOnwards;
-  std::mutex mPublishMutex; // one call of mOnChange at a time
-  std::mutex mWriteMutex;   // one write of the own record at a time
+  bool mServerMessageSeen = false; // under mMutex
+  // A peer has sent a record of another box; under mMutex.
+  bool mLearnedFromPeer = false;
+  Batcher mBatcher; // under mMutex
+  // Newer records from peers, forwarded with the next batch; under mMutex.
+  std::map<BoxName, BoxRecord> mToForward;
+  std::mutex mPublishMutex; // serializes calls of mOnChange
+  std::mutex mWriteMutex;   // serializes writes of the own record
   const TimePoint mStarted;
   std::atomic<bool> mLoaded{ false };
   std::atomic<bool> mStop{ false };
   BoxRecordStore mStore;
-  Worker mWorker; // applies what peers send
+  Worker mWorker; // applies peers' records
   std::thread mThread;
 };
 
--- a/packages/control/include/porttiller/control/EjectionController.h
+++ b/packages/control/include/porttiller/control/EjectionController.h
@@ -1,5 +1,6 @@
-// Drives the ejection machines of this box's servers: asks other homes, takes
-// and gives back permissions, and returns servers when the floor is broken.
+// Drives the ejection machines of this box's servers: queries other homes,
+// takes and releases ejection permissions, and returns servers to use when
+// ejections break the floor.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -32,22 +33,23 @@
   void Start();
   void Stop();
 
-  // How this home's servers of a service fare.
+  // Reports the health of this home's servers of a service.
   wire::Envelope OnHealthRequest(const wire::HealthRequest& aRequest) const;
 
 private:
   void Tick();
   void Act(const LocalServerPtr& aServer, const EjectionAction& aAction);
-  void Ask(const LocalServerPtr& aServer);
+  void QueryHomes(const LocalServerPtr& aServer);
   void Request(const LocalServerPtr& aServer);
   void Release(const LocalServerPtr& aServer);
   CapacityView CapacityOf(const ServiceName& aService) const;
   std::vector<BoxSpec> OtherHomes(const BackendServerSpec& aServer) const;
   std::vector<PeerHealth> OwnHealth(const BackendServerSpec& aServer) const;
-  // On the ledger thread.
-  void RequestNow(const LocalServerPtr& aServer);
-  void HealFloor();
-  void TidyLedgers();
+  // On the thread of mLedgerWorker.
+  void TakePermission(const LocalServerPtr& aServer);
+  // On the thread of mFloorTicker.
+  void RestoreFloor();
+  void CleanLedgers();
 
   const Settings& mSettings;
   const Incarnation mIncarnation;
@@ -56,10 +58,10 @@
   const MembershipController& mMembership;
   PeerTransport& mTransport;
   Metrics& mMetrics;
-  std::mutex mLedgerMutex; // one user of the store at a time
+  std::mutex mLedgerMutex; // serializes use of mLedger
   LedgerStore mLedger;
   std::map<ServiceName, EjectionLedger> mLastLedger; // under mLedgerMutex
-  std::set<ServiceName> mTidied;                     // under mLedgerMutex
+  std::set<ServiceName> mCleanedServices;            // under mLedgerMutex
   std::unique_ptr<Worker> mLedgerWorker;
   std::unique_ptr<Ticker> mTicker;
   std::unique_ptr<Ticker> mFloorTicker;
--- a/packages/control/include/porttiller/control/LedgerStore.h
+++ b/packages/control/include/porttiller/control/LedgerStore.h
@@ -1,4 +1,4 @@
-// The ejection ledgers at the platform, as one home changes them.
+// Reads and updates the ejection ledgers in the platform's store for one home.
 #pragma once
 
 #include "porttiller/policy/EjectionLedger.h"
@@ -13,7 +13,7 @@
 
 inline constexpr const char* kLedgerKind = "EjectionLedger";
 
-// Asked anew for each try, so that it is as fresh as can be.
+// Called again for each try, so that the capacity is up to date.
 using CapacitySource = std::function<CapacityView()>;
 
 // Used by one thread at a time.
@@ -24,26 +24,27 @@
               BoxName aBox,
               Incarnation aIncarnation);
 
-  // Takes a permission to eject. Always writes, even when the ledger already
-  // shows it: an earlier write that is still on its way must find the version
-  // moved on.
+  // Takes the permission to eject a server. Writes even when the ledger already
+  // has the entry, so that an earlier write still in flight fails with a
+  // version conflict.
   PermissionAnswer Eject(const ServiceName& aService,
                          const LedgerEntry& aEntry,
                          const CapacitySource& aCapacity);
 
-  // Gives it back. True once the platform has confirmed it.
+  // Releases the permission. True if the platform confirmed it.
   bool Release(const ServiceName& aService, const BackendServerName& aServer);
 
-  // Drops what earlier lives of this box left behind, and its entries for
-  // servers that hold no permission. True once confirmed.
-  bool Tidy(const ServiceName& aService,
-            const std::set<BackendServerName>& aHolding);
+  // Removes entries of earlier incarnations of this box, and its entries for
+  // servers that hold no permission. True if nothing had to be removed or the
+  // platform confirmed the write.
+  bool RemoveStale(const ServiceName& aService,
+                   const std::set<BackendServerName>& aHolding);
 
-  // Null while the platform is away.
+  // Fails while the platform is unreachable.
   tl::expected<EjectionLedger, StoreError> Read(const ServiceName& aService);
 
 private:
-  struct Versioned
+  struct VersionedLedger
   {
     EjectionLedger mLedger;
     std::uint64_t mVersion = 0;
@@ -52,12 +53,13 @@
   using Change = std::function<tl::expected<EjectionLedger, FloorError>(
     const EjectionLedger&)>;
 
-  tl::expected<Versioned, StoreError> ReadVersioned(
+  tl::expected<VersionedLedger, StoreError> ReadVersioned(
     const ServiceName& aService);
   tl::expected<void, StoreError> Write(const ServiceName& aService,
-                                       const Versioned& aHeld,
+                                       const VersionedLedger& aHeld,
                                        const EjectionLedger& aNext);
-  // Reads, changes and writes, again when another writer came first.
+  // Reads, changes and writes the ledger; retries if another writer changed it
+  // in between.
   PermissionAnswer Replace(const ServiceName& aService, const Change& aChange);
 
   ObjectClient mClient;
@@ -66,7 +68,8 @@
   std::uint64_t mWrites = 0;
 };
 
-// The ledger's spec; aWriter makes each write recognisable.
+// The ledger's spec. aWriter is unique for each write, so that a writer can
+// recognise its own version.
 std::string
 EncodeLedger(const EjectionLedger& aLedger, const std::string& aWriter);
 
--- a/packages/control/include/porttiller/control/LimitController.h
+++ b/packages/control/include/porttiller/control/LimitController.h
@@ -1,7 +1,8 @@
-// Keeps the limits of workspaces over all boxes together: tells a collector of
-// the zone what this box's entry has let through, and collects where this box
-// is asked to. Which boxes collect follows from the rendezvous hash over the
-// live ones, without an election; any box that gets a report collects.
+// Enforces the rate limits of workspaces across all boxes: reports the use that
+// this box's entry has admitted to a collector of the zone, and acts as a
+// collector itself when it receives reports. Entries choose collectors by
+// rendezvous hashing over the live boxes, without an election; any box that
+// receives a report collects.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -36,19 +37,20 @@
   void Stop();
   void Apply(const SnapshotPtr& aSnapshot);
 
-  // From an entry or a collector. The reply is for those who ask for one.
+  // From an entry or a collector. The reply is sent only if the message asks
+  // for one.
   wire::Envelope OnReport(const wire::Envelope& aMessage);
-  // From the collector, without having been asked.
+  // Unsolicited grants from a collector.
   void OnGrants(const wire::WorkspaceGrants& aMessage);
 
   std::string Dump() const;
 
 private:
-  // Boxes that collect, the first one of each zone first.
+  // Collectors, in rendezvous order within each zone.
   struct Collectors
   {
     std::vector<BoxSpec> mOwnZone;
-    std::vector<BoxSpec> mOthers; // all but this box, of all zones
+    std::vector<BoxSpec> mOthers; // of all zones, without this box
   };
 
   void Tick();
@@ -57,7 +59,7 @@
   void SendReport(const BoxSpec& aCollector, const UseReport& aReport);
   void Collect();
   void Exchange(const WorkspaceUses& aUses);
-  void TellGrants(const WorkspaceGrants& aGrants, bool aWarming);
+  void SendGrants(const WorkspaceGrants& aGrants, bool aWarming);
   void LogChanges(const WorkspaceGrants& aGrants);
   std::optional<RequestLimit> LimitOf(const WorkspaceName& aWorkspace) const;
 
@@ -68,13 +70,13 @@
   const std::function<std::vector<BoxName>()> mLiveBoxes;
   mutable std::mutex mMutex;
   UsageCollector mCollector;               // under mMutex
-  WorkspaceGrants mGrants;                 // the last ones; under mMutex
-  std::map<BoxName, TimePoint> mReporters; // heard from; under mMutex
+  WorkspaceGrants mGrants;                 // the latest; under mMutex
+  std::map<BoxName, TimePoint> mReporters; // last report; under mMutex
   SnapshotPtr mSnapshot;                   // under mMutex
   Collectors mCollectors;                  // of the ticker's thread
   WorkspaceGrants mTold;                   // of the ticker's thread
-  TimePoint mNextFind;                     // of the ticker's thread
-  TimePoint mNextTell;                     // of the ticker's thread
+  TimePoint mNextFindCollectors;           // of the ticker's thread
+  TimePoint mNextGrantSend;                // of the ticker's thread
   bool mReportsNow = false;                // of the ticker's thread
   std::unique_ptr<Ticker> mTicker;         // null until a limit is known
 };
--- a/packages/control/include/porttiller/control/MembershipController.h
+++ b/packages/control/include/porttiller/control/MembershipController.h
@@ -1,4 +1,4 @@
-// Probes the other boxes and keeps what this node believes of them.
+// Probes other boxes and maintains this node's view of their states.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -17,18 +17,18 @@
 
 namespace porttiller {
 
-// A peer's configuration revision, as its probes and replies carry it.
+// A peer's revision and digests, carried by its probes and replies.
 struct PeerRevision
 {
   std::string mAddress; // its control address
   std::uint64_t mRevision = 0;
   std::uint64_t mDigest = 0;
-  std::uint64_t mDirectory = 0; // digest of the records of all boxes
+  std::uint64_t mDirectory = 0; // digest of all box records
 };
 
 struct MembershipHooks
 {
-  // This node's own revision and digest.
+  // This node's revision and digests.
   std::function<PeerRevision()> mOwnRevision;
   std::function<void(const PeerRevision&)> mOnPeerRevision;
 };
@@ -47,21 +47,21 @@
   // Stops probing.
   void Stop();
   void Apply(const SnapshotPtr& aSnapshot);
-  // Tells a few boxes at once that this one leaves, and the rest by gossip.
+  // Notifies a few boxes that this one is leaving; gossip informs the others.
   void Leave();
 
-  // Handlers of peers' messages.
-  // Null for a message that asks for no reply.
+  // Handlers of peers' messages. OnProbe returns null if no reply is expected.
   std::optional<wire::Envelope> OnProbe(const wire::Envelope& aRequest);
   void OnIndirectProbe(const wire::Envelope& aRequest,
                        const PeerReplier& aReply);
 
-  // Dead, leaving or not listed.
-  bool IsGone(const BoxName& aBox) const;
+  // Dead, suspected, leaving or not in the current snapshot.
+  bool IsUnavailable(const BoxName& aBox) const;
   std::vector<BoxName> LiveBoxes() const;
-  // Up to aCount random live boxes but this one, with their addresses.
+  // Up to aCount random live boxes other than this one, with their addresses.
   std::vector<BoxSpec> RandomPeers(std::size_t aCount) const;
-  // As many live boxes of this one's zone and of each other zone.
+  // Random live boxes other than this one, as many of each zone as aOptions
+  // says.
   std::vector<BoxSpec> SpreadPeers(const SpreadOptions& aOptions) const;
   std::string Dump() const;
 
@@ -69,16 +69,17 @@
   void Tick();
   void ProbeNext();
   void ProbeBox(const BoxSpec& aBox);
-  void OnProbed(const BoxSpec& aBox, const PeerResult& aResult);
-  void AskHelpers(const BoxSpec& aBox);
-  void TakeBeliefs(
+  void OnProbeResult(const BoxSpec& aBox, const PeerResult& aResult);
+  void SendIndirectProbes(const BoxSpec& aBox);
+  void ApplyUpdates(
     const google::protobuf::RepeatedPtrField<wire::Member>& aMembers);
   wire::Envelope MakeProbe(const std::vector<MemberUpdate>& aUpdates) const;
-  std::vector<MemberUpdate> NewsFor(const BoxName& aBox);
-  void NoteRevision(const std::string& aFromBox, const PeerRevision& aRevision);
+  std::vector<MemberUpdate> UpdatesFor(const BoxName& aBox);
+  void ReportPeerRevision(const std::string& aFromBox,
+                          const PeerRevision& aRevision);
   std::optional<BoxSpec> SpecOf(const BoxName& aBox) const;
-  void RefreshUsable();
-  void TellUrgent();
+  void UpdateUsableBoxes();
+  void SendUrgentUpdates();
   std::vector<const BoxSpec*> LivePeers(const Snapshot& aSnapshot) const;
   SnapshotPtr CurrentSnapshot() const;
 
@@ -87,11 +88,11 @@
   EntryView& mView;
   const MembershipHooks mHooks;
   mutable std::mutex mMutex;
-  Membership mMembership; // under mMutex
-  TimePoint mNextUrgent;  // under mMutex
-  SnapshotPtr mSnapshot;  // under mMutex
+  Membership mMembership;    // under mMutex
+  TimePoint mNextUrgentSend; // under mMutex
+  SnapshotPtr mSnapshot;     // under mMutex
   std::mutex mRefreshMutex;
-  std::set<BoxName> mAvoided; // the view was told; under mRefreshMutex
+  std::set<BoxName> mAvoided; // unusable in mView; under mRefreshMutex
   std::unique_ptr<Ticker> mTicker;
 };
 
--- a/packages/control/include/porttiller/control/NewsController.h
+++ b/packages/control/include/porttiller/control/NewsController.h
@@ -1,5 +1,6 @@
-// Watches the breakers of this box's servers and tells the boxes that send to
-// them when one opens or closes; takes what other homes tell.
+// Watches the circuit breakers of this box's servers and notifies the boxes
+// that send to them when one opens or closes; receives the same notifications
+// from other homes.
 #pragma once
 
 #include "porttiller/config/Snapshot.h"
@@ -31,7 +32,7 @@
 
 private:
   void Tick();
-  void Tell(const ServerNews& aNews);
+  void Notify(const ServerNews& aNews);
 
   const Settings& mSettings;
   Home& mHome;
--- a/packages/control/include/porttiller/control/StatusController.h
+++ b/packages/control/include/porttiller/control/StatusController.h
@@ -1,7 +1,7 @@
-// Writes the fleet's status to the platform: which configuration is accepted,
-// what was rejected and why, and which boxes are behind. One box does it for
-// each revision, the one that the rendezvous hash names, so that the work goes
-// round; a second one would only waste a write.
+// Writes the fleet's status to the platform: the accepted configuration
+// revision, rejected objects with reasons, and boxes that are behind. For each
+// revision one box is the writer, chosen by rendezvous hashing so that the work
+// is distributed; a second writer would only cost an extra write.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -35,11 +35,11 @@
 private:
   void Tick();
   bool IsWriter(std::uint64_t aRevision) const;
-  // Asks the boxes that were not known to be in force yet.
+  // Queries the boxes that are not known to have this revision in force.
   void Collect(const Snapshot& aSnapshot);
   std::string Describe(const Snapshot& aSnapshot) const;
   void Write(std::uint64_t aRevision, const std::string& aStatus);
-  // The revision in force at a box; 0 when it does not answer.
+  // The revision in force at a box; 0 if the box does not reply.
   std::uint64_t RevisionAt(const BoxSpec& aBox);
 
   const Settings& mSettings;
@@ -48,10 +48,10 @@
   PeerTransport& mTransport;
   Metrics& mMetrics;
   ObjectClient mClient;
-  std::map<BoxName, std::uint64_t> mRevisions; // by box; 0: silent
-  std::uint64_t mCollected = 0; // the revision they were asked at
+  std::map<BoxName, std::uint64_t> mRevisions; // by box; 0: unresponsive
+  std::uint64_t mCollectedRevision = 0; // that mRevisions were collected for
   TimePoint mNextFullRound;
-  std::string mWritten;
+  std::string mWrittenStatus; // empty: none written by this box as the writer
   std::unique_ptr<Ticker> mTicker;
 };
 
--- a/packages/control/include/porttiller/control/StoreClient.h
+++ b/packages/control/include/porttiller/control/StoreClient.h
@@ -1,4 +1,4 @@
-// How this node's clients of the platform's object API are set up.
+// Options for this node's clients of the platform's object API.
 #pragma once
 
 #include "porttiller/config/Settings.h"
--- a/packages/control/include/porttiller/control/UnreadableObjects.h
+++ b/packages/control/include/porttiller/control/UnreadableObjects.h
@@ -1,4 +1,4 @@
-// What becomes known of objects that cannot be read.
+// Counts and logs objects that cannot be read.
 #pragma once
 
 #include "porttiller/config/UnreadableObject.h"
@@ -11,8 +11,8 @@
 
 namespace porttiller {
 
-// Counts each by reason and logs each version once, in bounded memory. Owned by
-// the node; thread-safe.
+// Counts every report by reason and logs each version once, in bounded memory.
+// Owned by the node; thread-safe.
 class UnreadableObjects
 {
 public:
@@ -24,8 +24,8 @@
   void Note(const std::vector<UnreadableObject>& aObjects);
 
 private:
-  // Later ones forget earlier ones, which are then logged again when seen.
-  static constexpr std::size_t kRemembered = 256;
+  // Older versions are forgotten beyond this number, and logged again if seen.
+  static constexpr std::size_t kMaxLoggedVersions = 256;
 
   bool IsNew(const UnreadableObject& aObject);
 
--- a/packages/control/include/porttiller/control/Worker.h
+++ b/packages/control/include/porttiller/control/Worker.h
@@ -1,4 +1,4 @@
-// One thread that runs jobs in order, and some of them later.
+// One thread that runs jobs in order, optionally after a delay.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 namespace porttiller {
 
-// Thread-safe. Jobs still waiting when it stops are dropped.
+// Thread-safe. Stop drops jobs that have not started.
 class Worker
 {
 public:
@@ -20,16 +20,16 @@
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // False, and the job is dropped, when too many wait or it is stopping.
+  // Returns false and drops the job if the queue is full or the worker stops.
   bool Post(std::function<void()> aJob);
-  // As Post, but not before so much time has passed.
+  // As Post, but runs the job no earlier than after aDelay.
   bool PostAfter(std::chrono::milliseconds aDelay, std::function<void()> aJob);
   void Stop();
 
 private:
   void Run();
   bool HasRoom() const;
-  void TakeDelayed();
+  void MoveDueJobs();
 
   const std::size_t mMaxWaiting;
   std::mutex mMutex;
@@ -41,7 +41,8 @@
   std::thread mThread;
 };
 
-// Calls a function at a steady pace until it is destroyed.
+// Calls a function on a thread of its own until it is destroyed, and waits
+// aInterval before each call.
 class Ticker
 {
 public:
--- a/packages/control/src/BoxRecordStore.cpp
+++ b/packages/control/src/BoxRecordStore.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Millis kCallTimeout{ 1500 };
-// A server waits a second for its acknowledgement; the store and then the
-// peers must fit in.
+// A server waits 1 s for its acknowledgement; the call to the store and then
+// those to peers must fit into it.
 constexpr Millis kAckTimeout{ 350 };
 
 UnreadableObject
-UnreadableOwn(const StoreError& aError)
+UnreadableOwnRecord(const StoreError& aError)
 {
   return { .mKind = kBoxRecordKind,
            .mReason = UnreadableReason::kItem,
@@ -38,9 +38,9 @@
   mAckClient.Abort();
 }
 
-// Null when the object is another writer's, which is reported.
+// Null if the object is not a record of this box; reports it as unreadable.
 std::optional<BoxRecord>
-BoxRecordStore::OwnRecordIn(const Object& aObject)
+BoxRecordStore::ParseOwnRecord(const Object& aObject)
 {
   auto record = ReadBoxRecord(aObject);
   if (!record) {
@@ -50,9 +50,9 @@
   return *record;
 }
 
-// False when the spare name is in use already. Under mMutex.
+// False if the spare name is already in use. Under mMutex.
 bool
-BoxRecordStore::UseSpare()
+BoxRecordStore::SwitchToSpareName()
 {
   if (mPlace == BoxRecordPlace::kSpare) {
     return false;
@@ -69,17 +69,17 @@
   do {
     const auto own = mClient.Get(OwnKey());
     if (own) {
-      if (const auto record = OwnRecordIn(*own)) {
+      if (const auto record = ParseOwnRecord(*own)) {
         mVersion = own->mVersion;
         return record;
       }
     } else if (own.error().mKind == StoreErrorKind::kBadAnswer) {
-      mOnUnreadable({ UnreadableOwn(own.error()) });
+      mOnUnreadable({ UnreadableOwnRecord(own.error()) });
     } else if (own.error().mKind != StoreErrorKind::kNotFound) {
       return tl::make_unexpected(own.error());
     }
-  } while (UseSpare());
-  // Neither name has a record: the usual one is tried first again.
+  } while (SwitchToSpareName());
+  // Neither name has a record; the next write tries the usual one first.
   mPlace = BoxRecordPlace::kUsual;
   mVersion = 0;
   return std::nullopt;
@@ -110,7 +110,7 @@
       return { .mWritten = true };
     }
     if (written.error().mKind != StoreErrorKind::kUnavailable) {
-      result = TakeConflict(client, aRecord);
+      result = ResolveConflict(client, aRecord);
     }
     moved = mPlace != place;
   } while (moved && !result.mWritten);
@@ -123,25 +123,25 @@
   return result;
 }
 
-// Another version is there: of this write, whose answer was lost, of an earlier
-// incarnation of this box, which the next write replaces, or of another writer,
-// whose object stays. Under mMutex.
+// The store holds another version than expected. It comes from this write if
+// its reply was lost, from an earlier incarnation of this box, which the next
+// write replaces, or from another writer, whose object is kept. Under mMutex.
 RecordWrite
-BoxRecordStore::TakeConflict(ObjectClient& aClient, const BoxRecord& aRecord)
+BoxRecordStore::ResolveConflict(ObjectClient& aClient, const BoxRecord& aRecord)
 {
   const auto held = aClient.Get(OwnKey());
   if (!held) {
     if (held.error().mKind == StoreErrorKind::kNotFound) {
       mVersion = 0;
     } else if (held.error().mKind == StoreErrorKind::kBadAnswer) {
-      mOnUnreadable({ UnreadableOwn(held.error()) });
-      UseSpare();
+      mOnUnreadable({ UnreadableOwnRecord(held.error()) });
+      SwitchToSpareName();
     }
     return {};
   }
-  const auto record = OwnRecordIn(*held);
+  const auto record = ParseOwnRecord(*held);
   if (!record) {
-    UseSpare();
+    SwitchToSpareName();
     return {};
   }
   mVersion = held->mVersion;
--- a/packages/control/src/ConfigController.cpp
+++ b/packages/control/src/ConfigController.cpp
@@ -12,32 +12,35 @@
 
 namespace {
 
-// Of the time that a change has to be in force: a watcher of the zone comes
-// back in every half of it, and gives up a silent connection after a quarter
-// more. The last quarter is for the way to the other boxes.
-constexpr int kWatchStepPart = 2;
-// At the very first start of the whole system a box learns from the others who
-// watches, before it asks the platform itself.
+// Divides the time within which a change must be in force: a watch of the zone
+// ends in every half of it, and a watcher abandons an unresponsive connection
+// after another quarter. The last quarter is for sending the change to the
+// other boxes.
+constexpr int kWatchStepDivisor = 2;
+// At the first start of the whole system a box waits up to this time to learn
+// from peers which boxes watch, before it queries the platform itself.
 constexpr Millis kFirstStartWait{ 3000 };
-constexpr Millis kMeetCheck{ 500 };
-// A box that is no watcher then waits so long for what watchers announce.
-constexpr Millis kFirstFallback{ 2000 };
+constexpr Millis kPeerCheckInterval{ 500 };
+// After that, a box that is not a watcher waits this long for an announcement.
+constexpr Millis kFirstStartFallbackWait{ 2000 };
 constexpr Millis kCallTimeout{ 1000 };
 constexpr Millis kRetryWait{ 500 };
-// A node that is no watcher looks at the platform this rarely, in case no
+// Interval at which a box that is not a watcher reads the platform, in case no
 // peer reaches it.
 constexpr Millis kFallbackWait{ 30'000 };
-// Not while peers tell it their revisions, as each of its neighbours does.
-constexpr Millis kPeersHeard{ 5000 };
-constexpr Millis kRoleCheck{ 1000 };
-constexpr Millis kPullTimeout{ 1000 };
+// It does not read the platform if a peer's revision came within this time;
+// each of its neighbours sends its revision with its probes.
+constexpr Millis kPeerRevisionMaxAge{ 5000 };
+constexpr Millis kRoleCheckInterval{ 1000 };
+constexpr Millis kDeltaTimeout{ 1000 };
 constexpr Millis kAnnounceTimeout{ 1000 };
 constexpr std::size_t kWatchersPerZone = 3;
-// Who reads the platform tells its zone, and one box of each other in case its
-// watchers cannot; who was told tells its zone.
-constexpr SpreadOptions kFirstHand{ .mOwnZone = 4, .mPerOtherZone = 1 };
-constexpr SpreadOptions kOnwards{ .mOwnZone = 4 };
-constexpr Millis::rep kNoAnswerYet = -1; // in log lines
+// A box that read a change from the platform or a seed announces it in its
+// zone, and to one box of each other zone in case the watchers there cannot
+// read the platform. A box that got it from a peer announces it in its zone.
+constexpr SpreadOptions kSourceSpread{ .mOwnZone = 4, .mPerOtherZone = 1 };
+constexpr SpreadOptions kForwardSpread{ .mOwnZone = 4 };
+constexpr Millis::rep kNoReplyYetMs = -1; // in log lines
 
 Millis
 Jittered(Millis aTime)
@@ -58,7 +61,7 @@
   , mMetrics(aMetrics)
   , mPeers(std::move(aPeers))
   , mOnUnreadable(std::move(aOnUnreadable))
-  , mTurns({ .mStep = aSettings.mTiming.mApply / kWatchStepPart })
+  , mWatchTurns({ .mStep = aSettings.mTiming.mApply / kWatchStepDivisor })
   , mClient(StoreClientOptions(aSettings, "configuration", kCallTimeout))
 {
 }
@@ -81,7 +84,7 @@
   {
     const std::lock_guard applyLock(mApplyMutex);
     if (const auto snapshot = Current()) {
-      Switch(snapshot);
+      NotifyListeners(snapshot);
     }
   }
   mThread = std::thread([this] { Run(); });
@@ -134,12 +137,13 @@
     LogRefused(aDelta, changed.error(), aSource);
     return tl::make_unexpected(changed.error());
   }
-  Switch(snapshot);
+  NotifyListeners(snapshot);
   mMetrics.ConfigRevision().Set(static_cast<double>(snapshot->mRevision));
   if (!changed->empty()) {
     LogInForce(*snapshot, changed->size(), aSource);
     Announce(snapshot->mRevision,
-             std::string_view(aSource.mKind) == "peer" ? kOnwards : kFirstHand);
+             std::string_view(aSource.mKind) == "peer" ? kForwardSpread
+                                                       : kSourceSpread);
   }
   return {};
 }
@@ -156,10 +160,11 @@
     .With("peer", aSource.mPeer)
     .With("changes", static_cast<std::int64_t>(aChanges))
     .With("rejected", static_cast<std::int64_t>(aSnapshot.mRejections.size()))
-    .With("store_answer_age_ms", age ? age->count() : kNoAnswerYet);
+    .With("store_answer_age_ms", age ? age->count() : kNoReplyYetMs);
 }
 
-// What peers send twice is stale and usual: only a gap has a line.
+// Stale deltas are normal, as several peers may send the same one; only a gap
+// is logged.
 void
 ConfigController::LogRefused(const ObjectDelta& aDelta,
                              ApplyError aError,
@@ -178,20 +183,20 @@
     .With("revision", static_cast<std::int64_t>(Own().mRevision));
 }
 
-StoreKnowledge
+StoreStatus
 ConfigController::Store() const
 {
-  StoreKnowledge knowledge{ .mCursor = mRead };
-  const auto answered = mStoreAnswered.load();
+  StoreStatus status{ .mCursor = mReadRevision };
+  const auto answered = mLastStoreReplyAt.load();
   if (answered != TimePoint{}) {
-    knowledge.mSinceLastAnswer =
+    status.mSinceLastAnswer =
       std::chrono::duration_cast<Millis>(Now() - answered);
   }
-  return knowledge;
+  return status;
 }
 
 void
-ConfigController::Switch(const SnapshotPtr& aSnapshot)
+ConfigController::NotifyListeners(const SnapshotPtr& aSnapshot)
 {
   for (const auto& listener : mListeners) {
     listener(aSnapshot);
@@ -209,11 +214,12 @@
     snapshot = mBuilder.Build(mObjects, {}, mDirectory);
     mCurrent = snapshot;
   }
-  Switch(snapshot);
+  NotifyListeners(snapshot);
 }
 
 void
-ConfigController::NotePlatform(bool aReachable, const std::string& aDetail)
+ConfigController::SetPlatformReachable(bool aReachable,
+                                       const std::string& aDetail)
 {
   if (mPlatformReachable.exchange(aReachable) != aReachable) {
     LogLine(aReachable ? LogLevel::kInfo : LogLevel::kWarning,
@@ -235,7 +241,7 @@
 {
   const auto snapshot = Current();
   if (!snapshot || snapshot->FindBox(mSettings.mBox) == nullptr) {
-    return WatchPlace{}; // as long as nobody else is known
+    return WatchPlace{}; // this box watches until it knows the fleet
   }
   std::vector<BoxName> zoneBoxes;
   for (const auto& box : mPeers.mLiveBoxes()) {
@@ -254,10 +260,11 @@
                      .mCount = owners.size() };
 }
 
-// At the very first start of the whole system every box would ask the platform
-// until it is configured. Once they know of each other, the watchers do.
+// At the first start of the whole system every box would query the platform
+// until it has a configuration. Once the boxes know each other, only watchers
+// do.
 void
-ConfigController::MeetOthers()
+ConfigController::WaitForPeers()
 {
   const auto until = Now() + kFirstStartWait;
   const auto known = [this] {
@@ -266,9 +273,9 @@
            (snapshot->mRevision != 0 || snapshot->mBoxes.size() > 1);
   };
   while (!mStop && Now() < until && !known()) {
-    Sleep(kMeetCheck);
+    Sleep(kPeerCheckInterval);
   }
-  Sleep(kMeetCheck); // others are on their way
+  Sleep(kPeerCheckInterval); // records of more boxes may still arrive
 }
 
 void
@@ -283,32 +290,33 @@
 {
   auto nextFallback = Now();
   if (mSettings.mRegistration.mFirstStart) {
-    MeetOthers();
-    nextFallback = Now() + kFirstFallback;
+    WaitForPeers();
+    nextFallback = Now() + kFirstStartFallbackWait;
   }
   while (!mStop) {
-    if (IsWatcher() || (Now() >= nextFallback && !HeardPeers())) {
-      FollowPlatform();
+    if (IsWatcher() || (Now() >= nextFallback && !HeardFromPeers())) {
+      ReadPlatform();
       nextFallback = Now() + Jittered(kFallbackWait);
     } else {
-      Sleep(kRoleCheck);
+      Sleep(kRoleCheckInterval);
     }
   }
 }
 
 bool
-ConfigController::HeardPeers() const
+ConfigController::HeardFromPeers() const
 {
-  return Own().mRevision != 0 && Now() < mHeardPeer.load() + kPeersHeard;
+  return Own().mRevision != 0 &&
+         Now() < mLastPeerRevisionAt.load() + kPeerRevisionMaxAge;
 }
 
 void
-ConfigController::FollowPlatform()
+ConfigController::ReadPlatform()
 {
   const auto own = Own().mRevision;
   const auto from = mCursor.From(own);
   const auto place = Place();
-  const auto wait = place ? mTurns.NextWait(*place) : Millis(0);
+  const auto wait = place ? mWatchTurns.NextWait(*place) : Millis(0);
   mMetrics.PlatformCalls().Increment();
   auto delta = from ? mClient.WatchConfiguration(*from, wait)
                     : mClient.ListConfiguration();
@@ -316,42 +324,42 @@
   if (lost) {
     delta =
       mClient
-        .ListConfiguration(); // the platform no longer knows changes so old
+        .ListConfiguration(); // the platform no longer has such old changes
   }
   if (mStop) {
-    return; // the call was aborted: that says nothing of the platform
+    return; // the call was aborted, which says nothing about the platform
   }
-  NotePlatform(delta.has_value(), delta ? "" : delta.error().mDetail);
+  SetPlatformReachable(delta.has_value(), delta ? "" : delta.error().mDetail);
   if (!delta) {
-    AskSeeds();
+    QuerySeeds();
     Sleep(Jittered(kRetryWait));
     return;
   }
-  TakeFromStore(StoreCursor::FollowingOn(own, std::move(*delta)));
+  ApplyStoreDelta(StoreCursor::FollowingOn(own, std::move(*delta)));
 }
 
 void
-ConfigController::TakeFromStore(const ObjectDelta& aDelta)
+ConfigController::ApplyStoreDelta(const ObjectDelta& aDelta)
 {
-  mStoreAnswered = Now();
+  mLastStoreReplyAt = Now();
   mOnUnreadable(aDelta.mUnreadable);
   tl::expected<void, ApplyError> result;
   if (!aDelta.mObjects.empty() || aDelta.mFull) {
-    mTurns.OnChange();
+    mWatchTurns.OnChange();
     result = Apply(aDelta, { .mKind = "platform" });
   }
   mCursor.OnRead(aDelta, result);
-  const bool moved = mRead.exchange(mCursor.Read()) != mCursor.Read();
+  const bool moved = mReadRevision.exchange(mCursor.Read()) != mCursor.Read();
   const bool unconfigured = aDelta.mTo == 0;
   if (aDelta.mFull && (unconfigured || !moved)) {
-    Sleep(kRetryWait); // the next answer would be the same
+    Sleep(kRetryWait); // an immediate retry would get the same answer
   }
 }
 
-// A box that starts while the platform is away learns from its seeds, and
-// takes the newest that any of them has.
+// A box that starts while the platform is unreachable takes the newest
+// configuration that any of its seeds has.
 void
-ConfigController::AskSeeds()
+ConfigController::QuerySeeds()
 {
   if (Own().mRevision != 0) {
     return;
@@ -371,7 +379,7 @@
 void
 ConfigController::OnPeerRevision(const PeerRevision& aPeer)
 {
-  mHeardPeer = Now();
+  mLastPeerRevisionAt = Now();
   const auto own = Own();
   if (aPeer.mRevision == own.mRevision && aPeer.mDigest != own.mDigest &&
       aPeer.mDigest != 0) {
@@ -384,12 +392,12 @@
       const std::lock_guard lock(mMutex);
       mCatchUp.OnHeard(aPeer.mAddress, aPeer.mRevision);
     }
-    AskPeers();
+    RequestDeltas();
   }
 }
 
 void
-ConfigController::AskPeers()
+ConfigController::RequestDeltas()
 {
   std::vector<std::string> peers;
   {
@@ -397,46 +405,47 @@
     peers = mCatchUp.Next(mObjects.Revision());
   }
   for (const auto& peer : peers) {
-    Pull(peer);
+    RequestDelta(peer);
   }
 }
 
 void
-ConfigController::EndPull(const std::string& aAddress, bool aAnswered)
+ConfigController::OnDeltaRequestEnded(const std::string& aAddress,
+                                      bool aAnswered)
 {
   {
     const std::lock_guard lock(mMutex);
     mCatchUp.OnEnded(aAddress, aAnswered, mObjects.Revision());
   }
-  AskPeers();
+  RequestDeltas();
 }
 
 void
-ConfigController::Pull(const std::string& aAddress)
+ConfigController::RequestDelta(const std::string& aAddress)
 {
   wire::Envelope request;
   request.mutable_delta_request()->set_from(Own().mRevision);
   mTransport.Send(aAddress,
                   std::move(request),
-                  kPullTimeout,
+                  kDeltaTimeout,
                   [this, aAddress](const PeerResult& aResult) {
-                    const auto take = [this, aAddress, result = aResult] {
-                      TakeFromPeer(aAddress, *result);
+                    const auto apply = [this, aAddress, result = aResult] {
+                      ApplyPeerDelta(aAddress, *result);
                     };
                     const bool answered = aResult && aResult->has_delta();
-                    if (!answered || !mWorker.Post(take)) {
-                      EndPull(aAddress, false);
+                    if (!answered || !mWorker.Post(apply)) {
+                      OnDeltaRequestEnded(aAddress, false);
                     }
                   });
 }
 
 void
-ConfigController::TakeFromPeer(const std::string& aAddress,
-                               const wire::Envelope& aAnswer)
+ConfigController::ApplyPeerDelta(const std::string& aAddress,
+                                 const wire::Envelope& aAnswer)
 {
   static_cast<void>(Apply(DecodeDelta(aAnswer.delta()),
                           { .mKind = "peer", .mPeer = aAddress }));
-  EndPull(aAddress, true);
+  OnDeltaRequestEnded(aAddress, true);
 }
 
 wire::Envelope
@@ -458,8 +467,8 @@
 {
   wire::Envelope request;
   request.mutable_announce()->set_revision(aRevision);
-  // Asked for a reply, so that one that a silent link loses is sent again. Any
-  // other that is lost is made up for by the next probes.
+  // Sent as a request, so that the transport sends it again if it was lost on
+  // an unresponsive link. The next probes make up for any other loss.
   for (const auto& peer : mPeers.mSpreadPeers(aSpread)) {
     mTransport.Send(peer.mControlAddress,
                     request,
--- a/packages/control/src/ControlCodec.cpp
+++ b/packages/control/src/ControlCodec.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Of one workspace between two reports.
-constexpr std::int64_t kMostUses = 1'000'000;
+// Plausible number of requests of one workspace between two reports.
+constexpr std::int64_t kMaxUses = 1'000'000;
 constexpr double kPermille = 1000.0;
 
 } // namespace
@@ -147,10 +147,10 @@
     WorkspaceUse use{ .mWorkspace = WorkspaceName(item.workspace()),
                       .mAdmitted = item.admitted() };
     bool plausible = item.offered_size() == kPriorityCount &&
-                     std::abs(std::int64_t{ use.mAdmitted }) <= kMostUses;
+                     std::abs(std::int64_t{ use.mAdmitted }) <= kMaxUses;
     for (int i = 0; i < item.offered_size() && plausible; ++i) {
       use.mOffered.at(static_cast<std::size_t>(i)) = item.offered(i);
-      plausible = item.offered(i) <= kMostUses;
+      plausible = item.offered(i) <= kMaxUses;
     }
     if (plausible) {
       uses.push_back(std::move(use));
--- a/packages/control/src/DirectoryController.cpp
+++ b/packages/control/src/DirectoryController.cpp
@@ -12,25 +12,28 @@
 
 namespace {
 
-// A box sends its own record to a few boxes of each zone, which pass it on
-// within the zone: at 30 boxes 4 copies cross zones, by random receivers 80 do.
-constexpr SpreadOptions kOwnNews{ .mOwnZone = 3, .mPerOtherZone = 2 };
-constexpr SpreadOptions kOnwards{ .mOwnZone = 3 };
+// A box sends its own record to a few boxes of each zone, which forward it
+// within their zone: at 30 boxes 4 copies cross zones, against 80 with random
+// receivers.
+constexpr SpreadOptions kOwnRecordSpread{ .mOwnZone = 3, .mPerOtherZone = 2 };
+constexpr SpreadOptions kForwardSpread{ .mOwnZone = 3 };
 constexpr Millis kRetryWait{ 700 };
-// Calls to a store that fails are spread out.
+// The wait doubles up to this limit, to reduce the load on a failing store.
 constexpr Millis kMaxRetryWait{ 2000 };
-// At the very first start of all, boxes that have written their records wait up
-// to so long for records of others, and read the list if none come. Each box
-// that lists sends to eleven others, so few do.
-constexpr Millis kListSpread{ 1500 };
-// One box of a zone reads the list again, so that parts of the fleet that never
-// heard of each other meet.
-constexpr Millis kListAgain{ 30'000 };
-// At the very first start the box waits for its server's first heartbeat, so
-// that one write has both.
+// At the first start of the whole system, a box that has written its record
+// waits a random time up to this limit for records from peers, and lists the
+// store if none arrive. Each box that lists sends to eleven others, so few
+// boxes have to.
+constexpr Millis kMaxListDelay{ 1500 };
+// One box of each zone lists the store at this interval, so that parts of the
+// fleet that do not know each other are merged.
+constexpr Millis kListInterval{ 30'000 };
+// At the first start of the whole system the box waits up to this time for its
+// server's first heartbeat, so that one write covers the box and its server.
 constexpr Millis kFirstHeartbeatWait{ 2600 };
-// A box that nobody answers works with its own server's messages alone.
-constexpr Millis kStartPatience{ 3000 };
+// After this time without an answer a box works with its own server's messages
+// alone.
+constexpr Millis kMaxLoadWait{ 3000 };
 
 std::uint64_t
 WallClockMicros()
@@ -46,7 +49,7 @@
   switch (aError) {
     case RegistrationError::kStarting:
       return "starting";
-    case RegistrationError::kNotKept:
+    case RegistrationError::kNotStored:
       return "not-kept";
     case RegistrationError::kForeign:
       break;
@@ -84,7 +87,7 @@
     const std::lock_guard lock(mMutex);
     mDirectory.Merge(mOwn);
   }
-  // Whatever peers or the server said before now had nobody to hear it.
+  // Messages that arrived before now were not published.
   Publish();
   mThread = std::thread([this] { Run(); });
 }
@@ -114,7 +117,7 @@
 bool
 DirectoryController::Usable() const
 {
-  if (mLoaded || Now() >= mStarted + kStartPatience) {
+  if (mLoaded || Now() >= mStarted + kMaxLoadWait) {
     return true;
   }
   const std::lock_guard lock(mMutex);
@@ -126,22 +129,23 @@
 {
   std::unique_lock lock(mMutex);
   mWake.wait_for(lock, aTime, [this] {
-    return mStop || (mLoaded && mWritten < mOwn.mRevision);
+    return mStop || (mLoaded && mWrittenRevision < mOwn.mRevision);
   });
 }
 
-// Loads what is known, then keeps the own record in the store up to date.
+// Loads the directory, then keeps the own record in the store up to date.
 void
 DirectoryController::Run()
 {
   if (mSettings.mRegistration.mFirstStart) {
     std::unique_lock lock(mMutex);
-    mWake.wait_for(
-      lock, kFirstHeartbeatWait, [this] { return mStop || mServerKnown; });
+    mWake.wait_for(lock, kFirstHeartbeatWait, [this] {
+      return mStop || mServerMessageSeen;
+    });
   }
   auto wait = kRetryWait;
   while (!mStop && !LoadFromStore()) {
-    AskSeeds();
+    QuerySeeds();
     Sleep(wait);
     wait = std::min(2 * wait, kMaxRetryWait);
   }
@@ -152,15 +156,16 @@
 DirectoryController::KeepUpToDate()
 {
   auto wait = kRetryWait;
-  auto nextList = Now() + kListAgain;
+  auto nextList = Now() + kListInterval;
   while (!mStop) {
     {
       std::unique_lock lock(mMutex);
-      mWake.wait_until(
-        lock, nextList, [this] { return mStop || mWritten < mOwn.mRevision; });
+      mWake.wait_until(lock, nextList, [this] {
+        return mStop || mWrittenRevision < mOwn.mRevision;
+      });
     }
     if (!mStop && Now() >= nextList) {
-      nextList = Now() + kListAgain;
+      nextList = Now() + kListInterval;
       if (mHooks.mReadsList()) {
         ReadList();
       }
@@ -175,8 +180,9 @@
   }
 }
 
-// The own record is written before the list is read: of two boxes that start
-// together the later reader then sees the other one, and tells it.
+// Writes the own record before it reads the list: of two boxes that start
+// together, the one that reads later then sees the other and sends it its
+// record.
 bool
 DirectoryController::LoadFromStore()
 {
@@ -186,22 +192,22 @@
   if (!WriteOwn(false)) {
     return false;
   }
-  if (!LearnFromPeers() && !ReadList()) {
+  if (!WaitForPeerRecords() && !ReadList()) {
     return false;
   }
   mLoaded = true;
-  // Also when nothing brought news: the own server may be one.
+  // Needed even if no records were loaded: this box's server may be new.
   Publish();
   BoxRecord own;
   {
     const std::lock_guard lock(mMutex);
     own = mOwn;
   }
-  Push({ own }, kOwnNews);
+  Push({ own }, kOwnRecordSpread);
   return true;
 }
 
-// What an earlier life of this box has left.
+// Loads the record of an earlier incarnation of this box.
 bool
 DirectoryController::ReadOwn()
 {
@@ -213,21 +219,22 @@
   return own.has_value();
 }
 
-// At the very first start of all: true once a peer has told of other boxes. The
-// rest comes by digests, and the list, which is as long as the fleet, need not
-// be read. Later a box reads it at once: after a loss of all power every moment
-// until it knows the others is lost to its callers.
+// At the first start of the whole system: true once a peer has sent a record of
+// another box. Digests then bring the rest, so that the list, which grows with
+// the fleet, need not be read. At any later start a box reads the list at once:
+// after a power failure of the whole fleet it cannot serve its callers until it
+// knows the other boxes.
 bool
-DirectoryController::LearnFromPeers()
+DirectoryController::WaitForPeerRecords()
 {
   if (!mSettings.mRegistration.mFirstStart) {
     return false;
   }
-  const auto span = static_cast<std::uint64_t>(kListSpread.count());
-  const auto patience = Millis(static_cast<Millis::rep>(Random() % span));
+  const auto span = static_cast<std::uint64_t>(kMaxListDelay.count());
+  const auto delay = Millis(static_cast<Millis::rep>(Random() % span));
   std::unique_lock lock(mMutex);
-  mWake.wait_for(lock, patience, [this] { return mStop || mHeardPeer; });
-  return mHeardPeer;
+  mWake.wait_for(lock, delay, [this] { return mStop || mLearnedFromPeer; });
+  return mLearnedFromPeer;
 }
 
 bool
@@ -248,7 +255,7 @@
   BoxRecord record;
   {
     const std::lock_guard lock(mMutex);
-    if (mWritten >= mOwn.mRevision) {
+    if (mWrittenRevision >= mOwn.mRevision) {
       return true;
     }
     record = mOwn;
@@ -259,12 +266,12 @@
     Adopt(*write.mEarlier);
   }
   if (write.mWritten) {
-    mWritten = std::max(mWritten, record.mRevision);
+    mWrittenRevision = std::max(mWrittenRevision, record.mRevision);
   }
   return write.mWritten;
 }
 
-// Goes on from the record of an earlier life. Under mMutex.
+// Continues from the record of an earlier incarnation. Under mMutex.
 void
 DirectoryController::Adopt(const BoxRecord& aOwn)
 {
@@ -273,15 +280,16 @@
     mOwn.mServer = mRegistrar.Server();
   }
   if (aOwn.mRevision >= mOwn.mRevision) {
-    // That life's clock was ahead of this one's.
+    // The clock of that incarnation was ahead of this one's.
     mOwn.mRevision = aOwn.mRevision;
   }
-  RaiseOwn();
+  AdvanceOwnRevision();
 }
 
-// Under mMutex; the next write and message carry the new revision.
+// Raises the revision of the own record, for the next write and message. Under
+// mMutex.
 void
-DirectoryController::RaiseOwn()
+DirectoryController::AdvanceOwnRevision()
 {
   mOwn.mRevision = std::max(mOwn.mRevision + 1, WallClockMicros());
   mDirectory.Merge(mOwn);
@@ -289,7 +297,7 @@
 }
 
 void
-DirectoryController::AskSeeds()
+DirectoryController::QuerySeeds()
 {
   for (const auto& seed : SeedAddresses(mSettings)) {
     Request(seed);
@@ -301,34 +309,34 @@
                            const char* aSource)
 {
   const bool fromPeer = std::string_view(aSource) == "peer";
-  std::vector<BoxRecord> news;
+  std::vector<BoxRecord> newer;
   {
     const std::lock_guard lock(mMutex);
     for (const auto& record : aRecords) {
       const bool own = record.mBox.mName == mSettings.mBox;
-      if (fromPeer && !own && !mHeardPeer) {
-        mHeardPeer = true;
+      if (fromPeer && !own && !mLearnedFromPeer) {
+        mLearnedFromPeer = true;
         mWake.notify_all();
       }
       if (own && record.mIncarnation != mOwn.mIncarnation) {
         if (record.mRevision >= mOwn.mRevision) {
           Adopt(record);
-          news.push_back(mOwn);
+          newer.push_back(mOwn);
         }
       } else if (mDirectory.Merge(record)) {
-        news.push_back(record);
+        newer.push_back(record);
       }
     }
     if (fromPeer) {
-      for (const auto& record : news) {
-        mOnwards.insert_or_assign(record.mBox.mName, record);
+      for (const auto& record : newer) {
+        mToForward.insert_or_assign(record.mBox.mName, record);
       }
     }
   }
-  if (news.empty()) {
+  if (newer.empty()) {
     return;
   }
-  for (const auto& record : news) {
+  for (const auto& record : newer) {
     LogLine(LogLevel::kInfo, "box_record")
       .With("of", record.mBox.mName.Value())
       .With("revision", std::to_string(record.mRevision))
@@ -338,11 +346,11 @@
             record.mServer ? record.mServer->mIncarnation.ToString() : "")
       .With("state", record.mServer ? ToText(record.mServer->mState) : "");
   }
-  PlanBatch();
+  ScheduleBatch();
 }
 
 void
-DirectoryController::PlanBatch()
+DirectoryController::ScheduleBatch()
 {
   std::optional<Millis> delay;
   {
@@ -357,19 +365,19 @@
 void
 DirectoryController::PublishBatch()
 {
-  std::vector<BoxRecord> onwards;
+  std::vector<BoxRecord> toForward;
   {
     const std::lock_guard lock(mMutex);
     mBatcher.OnBatch(Now());
-    onwards.reserve(mOnwards.size());
-    for (auto& [box, record] : mOnwards) {
-      onwards.push_back(std::move(record));
+    toForward.reserve(mToForward.size());
+    for (auto& [box, record] : mToForward) {
+      toForward.push_back(std::move(record));
     }
-    mOnwards.clear();
+    mToForward.clear();
   }
   Publish();
-  if (!onwards.empty()) {
-    Push(onwards, kOnwards);
+  if (!toForward.empty()) {
+    Push(toForward, kForwardSpread);
   }
   const std::lock_guard lock(mMutex);
   mBatcher.OnBatchDone(Now());
@@ -398,7 +406,7 @@
   {
     const std::lock_guard lock(mMutex);
     verdict = mRegistrar.Take(aMessage);
-    mServerKnown = true;
+    mServerMessageSeen = true;
     mWake.notify_all();
     if (verdict == RegistrarVerdict::kForeign) {
       return tl::make_unexpected(RegistrationError::kForeign);
@@ -407,24 +415,24 @@
       return {};
     }
     mOwn.mServer = mRegistrar.Server();
-    RaiseOwn();
+    AdvanceOwnRevision();
     record = mOwn;
   }
-  LogServer(aMessage, verdict);
+  LogServerMessage(aMessage, verdict);
   if (verdict == RegistrarVerdict::kLeaving) {
     mHooks.mOnServerLeaving(record.mServer->mIncarnation);
   }
-  PlanBatch();
-  Push({ record }, kOwnNews);
-  if (verdict == RegistrarVerdict::kLeaving && !Keep(record)) {
-    return tl::make_unexpected(RegistrationError::kNotKept);
+  ScheduleBatch();
+  Push({ record }, kOwnRecordSpread);
+  if (verdict == RegistrarVerdict::kLeaving && !StoreDurably(record)) {
+    return tl::make_unexpected(RegistrationError::kNotStored);
   }
   return {};
 }
 
 void
-DirectoryController::LogServer(const ServerMessage& aMessage,
-                               RegistrarVerdict aVerdict)
+DirectoryController::LogServerMessage(const ServerMessage& aMessage,
+                                      RegistrarVerdict aVerdict)
 {
   const auto& server = aMessage.mServer;
   LogLine(LogLevel::kInfo, "server_message")
@@ -436,11 +444,11 @@
           aVerdict == RegistrarVerdict::kLeaving ? "leaving" : "new");
 }
 
-// Sees to it that a next life of this box knows the record.
+// True once the record survives a restart of this box.
 bool
-DirectoryController::Keep(const BoxRecord& aRecord)
+DirectoryController::StoreDurably(const BoxRecord& aRecord)
 {
-  return WriteOwn(true) || KeepAtPeers(aRecord);
+  return WriteOwn(true) || StoreAtPeers(aRecord);
 }
 
 void
@@ -451,11 +459,13 @@
     const std::lock_guard lock(mMutex);
     mOwn.mBox.mState = BoxState::kLeaving;
     mOwn.mRevision = std::max(mOwn.mRevision + 1, WallClockMicros());
-    mWritten = mOwn.mRevision; // peers are enough: a next life writes its own
+    // Skips the write to the store: the record only has to reach peers, and the
+    // next incarnation writes its own.
+    mWrittenRevision = mOwn.mRevision;
     mDirectory.Merge(mOwn);
     record = mOwn;
   }
-  Push({ record }, kOwnNews);
+  Push({ record }, kOwnRecordSpread);
 }
 
 } // namespace porttiller
--- a/packages/control/src/DirectoryPeers.cpp
+++ b/packages/control/src/DirectoryPeers.cpp
@@ -1,4 +1,4 @@
-// The directory's exchange of records with other boxes.
+// The part of DirectoryController that exchanges records with other boxes.
 #include "porttiller/control/DirectoryController.h"
 
 #include "porttiller/control/ControlCodec.h"
@@ -7,14 +7,13 @@
 
 namespace {
 
-// Of the second that a server waits; the store comes first.
+// A server waits 1 s for its acknowledgement; the store is tried first.
 constexpr Millis kAckPeerTimeout{ 300 };
 constexpr std::size_t kAckPeers = 4;
 constexpr Millis kPushTimeout{ 1000 };
-// A difference between two directories that lasts longer is not a record on its
-// way.
-constexpr Millis kDifferenceLasts{ 1200 };
-constexpr Millis kRequestGap{ 1000 };
+// A digest difference that lasts longer is not due to a record in flight.
+constexpr Millis kDigestDifferenceTime{ 1200 };
+constexpr Millis kMinRequestInterval{ 1000 };
 
 } // namespace
 
@@ -24,7 +23,7 @@
 {
   wire::Envelope message;
   *message.mutable_box_records() = EncodeRecords(aRecords);
-  // What is lost is found by the digests.
+  // The digests on probes reveal records that are lost.
   for (const auto& peer : mHooks.mSpreadPeers(aSpread)) {
     mTransport.Tell(peer.mControlAddress, message);
   }
@@ -60,22 +59,22 @@
   {
     const std::lock_guard lock(mMutex);
     if (aPeer.mDirectory == mDirectory.Digest()) {
-      mPeerDigest = 0;
+      mDifferingDigest = 0;
       return;
     }
-    if (mPeerDigest == 0) {
-      mPeerDigest = aPeer.mDirectory;
-      mPeerDigestSince = now;
+    if (mDifferingDigest == 0) {
+      mDifferingDigest = aPeer.mDirectory;
+      mDifferingSince = now;
     }
-    if (now < mPeerDigestSince + kDifferenceLasts || now < mNextRequest) {
+    if (now < mDifferingSince + kDigestDifferenceTime || now < mNextRequest) {
       return;
     }
-    mNextRequest = now + kRequestGap;
+    mNextRequest = now + kMinRequestInterval;
   }
   Request(aPeer.mAddress);
 }
 
-// Asks a peer for what is newer there, and sends it what it lacks.
+// Requests the records that are newer at a peer, and sends those it lacks.
 void
 DirectoryController::Request(const std::string& aAddress)
 {
@@ -108,15 +107,16 @@
                   });
 }
 
+// True once a peer has replied that it received the record.
 bool
-DirectoryController::KeepAtPeers(const BoxRecord& aRecord)
+DirectoryController::StoreAtPeers(const BoxRecord& aRecord)
 {
   struct Round
   {
     std::mutex mMutex;
     std::condition_variable mChanged;
     std::size_t mOpen = 0;
-    bool mKept = false;
+    bool mStored = false;
   };
   const auto round = std::make_shared<Round>();
   const auto peers = mHooks.mRandomPeers(kAckPeers);
@@ -130,13 +130,14 @@
                     [round](const PeerResult& aResult) {
                       const std::lock_guard lock(round->mMutex);
                       --round->mOpen;
-                      round->mKept = round->mKept || aResult.has_value();
+                      round->mStored = round->mStored || aResult.has_value();
                       round->mChanged.notify_all();
                     });
   }
   std::unique_lock lock(round->mMutex);
-  round->mChanged.wait(lock, [&] { return round->mKept || round->mOpen == 0; });
-  return round->mKept;
+  round->mChanged.wait(lock,
+                       [&] { return round->mStored || round->mOpen == 0; });
+  return round->mStored;
 }
 
 } // namespace porttiller
--- a/packages/control/src/EjectionController.cpp
+++ b/packages/control/src/EjectionController.cpp
@@ -11,11 +11,12 @@
 namespace {
 
 constexpr Millis kTick{ 50 };
-constexpr Millis kFloorCheck{ 1000 };
-constexpr Millis kAskTimeout{ 200 };
-constexpr std::size_t kAskedHomes = 3;
+constexpr Millis kFloorCheckInterval{ 1000 };
+constexpr Millis kQueryTimeout{ 200 };
+constexpr std::size_t kQueriedHomes = 3;
 
-// Gathers what the asked homes say; the last answer or time-out completes it.
+// Collects the replies of the queried homes; the last reply or timeout
+// completes it.
 struct Poll
 {
   std::mutex mMutex;
@@ -63,9 +64,9 @@
 {
   mLedgerWorker = std::make_unique<Worker>();
   mTicker = std::make_unique<Ticker>(kTick, [this] { Tick(); });
-  mFloorTicker = std::make_unique<Ticker>(kFloorCheck, [this] {
-    TidyLedgers();
-    HealFloor();
+  mFloorTicker = std::make_unique<Ticker>(kFloorCheckInterval, [this] {
+    CleanLedgers();
+    RestoreFloor();
   });
 }
 
@@ -102,7 +103,7 @@
                         const EjectionAction& aAction)
 {
   if (std::holds_alternative<AskPeers>(aAction)) {
-    Ask(aServer);
+    QueryHomes(aServer);
   } else if (std::holds_alternative<RequestPermission>(aAction)) {
     Request(aServer);
   } else {
@@ -122,7 +123,8 @@
   }
   std::set<BoxName> boxes;
   for (const auto& server : service->mServers) {
-    if (server.mBox != mSettings.mBox && !mMembership.IsGone(server.mBox)) {
+    if (server.mBox != mSettings.mBox &&
+        !mMembership.IsUnavailable(server.mBox)) {
       boxes.insert(server.mBox);
     }
   }
@@ -131,7 +133,7 @@
   }
   std::mt19937_64 generator(Random());
   std::shuffle(homes.begin(), homes.end(), generator);
-  homes.resize(std::min(homes.size(), kAskedHomes));
+  homes.resize(std::min(homes.size(), kQueriedHomes));
   return homes;
 }
 
@@ -151,7 +153,7 @@
 }
 
 void
-EjectionController::Ask(const LocalServerPtr& aServer)
+EjectionController::QueryHomes(const LocalServerPtr& aServer)
 {
   const auto& spec = aServer->Spec();
   const auto others =
@@ -169,7 +171,7 @@
   for (const auto& home : homes) {
     mTransport.Send(home.mControlAddress,
                     request,
-                    kAskTimeout,
+                    kQueryTimeout,
                     [aServer, poll, others](const PeerResult& aResult) {
                       std::unique_lock lock(poll->mMutex);
                       AddAnswer(*poll, aResult);
@@ -215,7 +217,7 @@
     view.mServers.push_back(
       { .mServer = server.mName,
         .mSlots = server.mSlots,
-        .mGone = !own && mMembership.IsGone(server.mBox) });
+        .mGone = !own && mMembership.IsUnavailable(server.mBox) });
   }
   return view;
 }
@@ -224,13 +226,13 @@
 EjectionController::Request(const LocalServerPtr& aServer)
 {
   mMetrics.Demotions().Increment();
-  if (!mLedgerWorker->Post([this, aServer] { RequestNow(aServer); })) {
+  if (!mLedgerWorker->Post([this, aServer] { TakePermission(aServer); })) {
     aServer->OnPermission(PermissionAnswer::kUnavailable);
   }
 }
 
 void
-EjectionController::RequestNow(const LocalServerPtr& aServer)
+EjectionController::TakePermission(const LocalServerPtr& aServer)
 {
   const auto& spec = aServer->Spec();
   const std::lock_guard lock(mLedgerMutex);
@@ -265,19 +267,19 @@
   }
 }
 
-// Boxes may die and floors be raised after an ejection: the newest ones are
-// taken back by their own homes. Works from the last known ledger while the
-// platform is away.
+// After an ejection boxes may die or the floor may be raised. Each home then
+// ends those of the newest ejections that are its own, until the floor holds.
+// Uses the last known ledger while the platform is unreachable.
 void
-EjectionController::HealFloor()
+EjectionController::RestoreFloor()
 {
-  std::map<ServiceName, std::vector<LocalServerPtr>> aside;
+  std::map<ServiceName, std::vector<LocalServerPtr>> holding;
   for (const auto& server : mHome.Servers()) {
     if (server->HoldsPermission()) {
-      aside[server->Spec().mService].push_back(server);
+      holding[server->Spec().mService].push_back(server);
     }
   }
-  for (const auto& [service, servers] : aside) {
+  for (const auto& [service, servers] : holding) {
     const std::lock_guard lock(mLedgerMutex);
     if (const auto ledger = mLedger.Read(service)) {
       mLastLedger[service] = *ledger;
@@ -296,12 +298,14 @@
   }
 }
 
-// Once for each service, and again when one of its servers here was replaced
-// or taken away: the new one holds no permission that the old one had.
+// Removes stale entries of this box once for each service, and again when one
+// of its servers here was replaced or removed: a new server does not inherit
+// the permission of the old one.
 void
-EjectionController::TidyLedgers()
+EjectionController::CleanLedgers()
 {
-  // Locked first: a server that asks from here on writes after the tidying.
+  // Locked before the permissions are read: a server that requests one from
+  // here on writes after this cleaning.
   const std::lock_guard lock(mLedgerMutex);
   std::map<ServiceName, std::set<BackendServerName>> holding;
   for (const auto& server : mHome.Servers()) {
@@ -311,12 +315,13 @@
     }
   }
   for (const auto& service : mHome.TakeReplacedServices()) {
-    mTidied.erase(service);
+    mCleanedServices.erase(service);
     holding.try_emplace(service);
   }
   for (const auto& [service, servers] : holding) {
-    if (!mTidied.contains(service) && mLedger.Tidy(service, servers)) {
-      mTidied.insert(service);
+    if (!mCleanedServices.contains(service) &&
+        mLedger.RemoveStale(service, servers)) {
+      mCleanedServices.insert(service);
     }
   }
 }
--- a/packages/control/src/LedgerStore.cpp
+++ b/packages/control/src/LedgerStore.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kMaxTries = 5; // against other writers
+constexpr int kMaxTries = 5; // on conflicts with other writers
 constexpr Millis kTimeout{ 2000 };
 
 ObjectKey
@@ -22,10 +22,11 @@
 LedgerEntry
 DecodeEntry(const Poco::JSON::Object& aJson)
 {
-  const auto life = ParseUnsigned(aJson.getValue<std::string>("incarnation"));
+  const auto incarnation =
+    ParseUnsigned(aJson.getValue<std::string>("incarnation"));
   return { .mServer = BackendServerName(aJson.getValue<std::string>("server")),
            .mBox = BoxName(aJson.getValue<std::string>("box")),
-           .mIncarnation = Incarnation(life.value_or(0)),
+           .mIncarnation = Incarnation(incarnation.value_or(0)),
            .mSlots = aJson.getValue<int>("slots") };
 }
 
@@ -39,7 +40,7 @@
     Poco::JSON::Object item;
     item.set("server", entry.mServer.Value());
     item.set("box", entry.mBox.Value());
-    // As text: JSON readers may not keep 64 bits.
+    // As text, since JSON readers may not preserve 64-bit integers.
     item.set("incarnation", std::to_string(entry.mIncarnation.Value()));
     item.set("slots", entry.mSlots);
     entries.add(item);
@@ -60,13 +61,13 @@
   };
   const auto json = ParseJsonObject(aSpecJson);
   if (!json) {
-    return bad("no JSON object");
+    return bad("not a JSON object");
   }
   try {
     std::vector<LedgerEntry> entries;
     const auto items = (*json)->getArray("entries");
     if (items.isNull()) {
-      return bad("no entries");
+      return bad("missing array \"entries\"");
     }
     for (unsigned i = 0; i < items->size(); ++i) {
       entries.push_back(DecodeEntry(*items->getObject(i)));
@@ -86,13 +87,13 @@
 {
 }
 
-tl::expected<LedgerStore::Versioned, StoreError>
+tl::expected<LedgerStore::VersionedLedger, StoreError>
 LedgerStore::ReadVersioned(const ServiceName& aService)
 {
   const auto object = mClient.Get(KeyOf(aService));
   if (!object) {
     if (object.error().mKind == StoreErrorKind::kNotFound) {
-      return Versioned();
+      return VersionedLedger();
     }
     return tl::make_unexpected(object.error());
   }
@@ -100,19 +101,19 @@
   if (!ledger) {
     return tl::make_unexpected(ledger.error());
   }
-  return Versioned{ std::move(*ledger), object->mVersion };
+  return VersionedLedger{ std::move(*ledger), object->mVersion };
 }
 
 tl::expected<EjectionLedger, StoreError>
 LedgerStore::Read(const ServiceName& aService)
 {
   return ReadVersioned(aService).map(
-    [](const Versioned& aHeld) { return aHeld.mLedger; });
+    [](const VersionedLedger& aHeld) { return aHeld.mLedger; });
 }
 
 tl::expected<void, StoreError>
 LedgerStore::Write(const ServiceName& aService,
-                   const Versioned& aHeld,
+                   const VersionedLedger& aHeld,
                    const EjectionLedger& aNext)
 {
   const auto writer = AttemptId(mBox, mIncarnation, ++mWrites).ToString();
@@ -161,7 +162,8 @@
   if (answer != PermissionAnswer::kFloor || !heldBefore) {
     return answer;
   }
-  // An earlier, unclear write had effect, and the floor no longer allows it.
+  // An earlier write with unknown outcome did take effect, and the floor no
+  // longer allows it.
   return Release(aService, aEntry.mServer) ? PermissionAnswer::kFloor
                                            : PermissionAnswer::kUnavailable;
 }
@@ -177,8 +179,8 @@
 }
 
 bool
-LedgerStore::Tidy(const ServiceName& aService,
-                  const std::set<BackendServerName>& aHolding)
+LedgerStore::RemoveStale(const ServiceName& aService,
+                         const std::set<BackendServerName>& aHolding)
 {
   const auto held = ReadVersioned(aService);
   if (!held) {
--- a/packages/control/src/LimitController.cpp
+++ b/packages/control/src/LimitController.cpp
@@ -11,16 +11,19 @@
 
 namespace {
 
-// Entries report at every second tick; collectors exchange and grant at each.
+// Entries report every other tick; collectors exchange use and compute grants
+// every tick.
 constexpr Millis kTick{ 125 };
 constexpr std::size_t kCollectorsPerZone = 2;
-constexpr Millis kFindEvery{ 1000 };
+constexpr Millis kFindCollectorsInterval{ 1000 };
 constexpr Millis kReplyTimeout{ 400 };
-// Entries that have told nothing for so long ask again before they trust.
+// Grants are no longer sent to an entry that has not reported for this time; it
+// requests them again before it relies on them.
 constexpr Millis kReportersLast{ 3000 };
-// Shares that moved less than this part are told with the next reply.
-constexpr double kTellingChange = 0.15;
-constexpr Millis kTellEvery{ 250 };
+// Relative change of a share that is sent at once; a smaller one goes out with
+// the next reply to a report.
+constexpr double kMinShareChange = 0.15;
+constexpr Millis kMinGrantInterval{ 250 };
 
 bool
 SameWorkspaces(const WorkspaceGrants& aOne, const WorkspaceGrants& aOther)
@@ -34,15 +37,15 @@
                     });
 }
 
-// Of the same workspaces.
+// Both must hold the same workspaces.
 bool
-Moved(const WorkspaceGrants& aOne, const WorkspaceGrants& aOther)
+SharesChanged(const WorkspaceGrants& aOne, const WorkspaceGrants& aOther)
 {
   for (std::size_t i = 0; i < aOne.size(); ++i) {
     for (std::size_t priority = 0; priority < kPriorityCount; ++priority) {
       const auto one = aOne[i].mShares.at(priority);
       const auto other = aOther[i].mShares.at(priority);
-      if (std::abs(one - other) > kTellingChange * std::max(one, other)) {
+      if (std::abs(one - other) > kMinShareChange * std::max(one, other)) {
         return true;
       }
     }
@@ -110,9 +113,9 @@
 void
 LimitController::Tick()
 {
-  if (Now() >= mNextFind) {
+  if (Now() >= mNextFindCollectors) {
     FindCollectors();
-    mNextFind = Now() + kFindEvery;
+    mNextFindCollectors = Now() + kFindCollectorsInterval;
   }
   mReportsNow = !mReportsNow;
   if (mReportsNow) {
@@ -154,8 +157,9 @@
   const auto known = std::max<std::size_t>(1, snapshot->mBoxes.size());
   mCollectors = std::move(found);
   mGate.SetBoxes(known);
-  // Boxes that are cut off keep to their own parts; a box that is alone
-  // collects for itself, and has one part to deal out.
+  // In a network partition each side grants the part of a limit that matches
+  // its number of live boxes; an isolated box collects for itself and grants
+  // the part of one box.
   const std::lock_guard lock(mMutex);
   mCollector.SetPart(
     std::min(1.0, static_cast<double>(live) / static_cast<double>(known)));
@@ -260,14 +264,15 @@
   if (!uses.empty()) {
     Exchange(uses);
   }
-  const bool others = !SameWorkspaces(grants, mTold);
-  if (others) {
+  const bool workspacesChanged = !SameWorkspaces(grants, mTold);
+  if (workspacesChanged) {
     LogChanges(grants);
   }
-  if (others || (Now() >= mNextTell && Moved(grants, mTold))) {
-    TellGrants(grants, warming);
+  if (workspacesChanged ||
+      (Now() >= mNextGrantSend && SharesChanged(grants, mTold))) {
+    SendGrants(grants, warming);
     mTold = grants;
-    mNextTell = Now() + kTellEvery;
+    mNextGrantSend = Now() + kMinGrantInterval;
   }
 }
 
@@ -284,14 +289,14 @@
 }
 
 void
-LimitController::TellGrants(const WorkspaceGrants& aGrants, bool aWarming)
+LimitController::SendGrants(const WorkspaceGrants& aGrants, bool aWarming)
 {
   std::vector<BoxName> reporters;
   SnapshotPtr snapshot;
   {
     const std::lock_guard lock(mMutex);
     snapshot = mSnapshot;
-    for (const auto& [box, heard] : mReporters) {
+    for (const auto& [box, lastReport] : mReporters) {
       reporters.push_back(box);
     }
   }
--- a/packages/control/src/MembershipController.cpp
+++ b/packages/control/src/MembershipController.cpp
@@ -12,23 +12,24 @@
 
 namespace {
 
-constexpr std::size_t kLeaveNotices = 5;
-// What requests depend on crosses the fleet in a few trips: each zone hears of
-// it, and whoever it is new to tells some more of its zone.
-constexpr SpreadOptions kUrgentNews{ .mOwnZone = 3, .mPerOtherZone = 1 };
-// Of 120 boxes that are cut off at once, in a few messages of 2 KB.
-constexpr std::size_t kUrgentAtOnce = 32;
-constexpr Millis kUrgentGap{ 200 };
-
-// Gathers the answers of the helpers; the last one, or the first success,
-// decides.
+constexpr std::size_t kLeaveNotices = 5; // boxes notified directly
+// Updates that change where requests go cross the fleet in a few hops: they are
+// sent to each zone, and a box to which one is new sends it on.
+constexpr SpreadOptions kUrgentSpread{ .mOwnZone = 3, .mPerOtherZone = 1 };
+// Updates in one message: those of 120 boxes that are cut off at once then fit
+// into a few messages of 2 KB.
+constexpr std::size_t kMaxUrgentUpdates = 32;
+constexpr Millis kMinUrgentInterval{ 200 };
+
+// Collects the replies of the helpers of an indirect probe; the first success
+// or the last reply decides.
 struct IndirectRound
 {
   std::atomic<int> mOpen{ 0 };
   std::atomic<bool> mReached{ false };
 };
 
-// Of a probe or its reply.
+// Message is a probe or a probe reply.
 template<typename Message>
 PeerRevision
 RevisionOf(const Message& aMessage)
@@ -105,30 +106,31 @@
     const std::lock_guard lock(mMutex);
     mMembership.OnTick(Now());
   }
-  TellUrgent();
-  RefreshUsable();
+  SendUrgentUpdates();
+  UpdateUsableBoxes();
   ProbeNext();
 }
 
-// News that came within a gap waits for the next news or tick. Suspects hear
-// of it, too, and may refute.
+// Updates within kMinUrgentInterval after the last message wait for the next
+// update or tick. A suspect is notified of its own suspicion, so that it can
+// refute it.
 void
-MembershipController::TellUrgent()
+MembershipController::SendUrgentUpdates()
 {
   std::vector<MemberUpdate> updates;
   {
     const std::lock_guard lock(mMutex);
-    if (Now() < mNextUrgent) {
+    if (Now() < mNextUrgentSend) {
       return;
     }
-    updates = mMembership.TakeUrgent(kUrgentAtOnce);
+    updates = mMembership.TakeUrgent(kMaxUrgentUpdates);
     if (updates.empty()) {
       return;
     }
-    mNextUrgent = Now() + kUrgentGap;
+    mNextUrgentSend = Now() + kMinUrgentInterval;
   }
   const auto message = MakeProbe(updates);
-  for (const auto& peer : SpreadPeers(kUrgentNews)) {
+  for (const auto& peer : SpreadPeers(kUrgentSpread)) {
     mTransport.Tell(peer.mControlAddress, message);
   }
   for (const auto& update : updates) {
@@ -141,13 +143,14 @@
       .With("state", ToText(update.mState))
       .With("incarnation", std::to_string(update.mIncarnation.Value()));
   }
-  RefreshUsable();
+  UpdateUsableBoxes();
 }
 
-// The entry avoids boxes that are gone or suspected, and paths that are cut.
-// It is told of changes alone: of 353 boxes few change in a second.
+// The entry avoids boxes that are dead, leaving or suspected, and those that
+// this box cannot reach. Only changes are passed on: of 353 boxes few change in
+// a second.
 void
-MembershipController::RefreshUsable()
+MembershipController::UpdateUsableBoxes()
 {
   const std::lock_guard refreshLock(mRefreshMutex);
   std::set<BoxName> avoided;
@@ -197,7 +200,7 @@
 }
 
 std::vector<MemberUpdate>
-MembershipController::NewsFor(const BoxName& aBox)
+MembershipController::UpdatesFor(const BoxName& aBox)
 {
   const std::lock_guard lock(mMutex);
   return mMembership.Spread(aBox);
@@ -208,13 +211,13 @@
 {
   mTransport.Send(
     aBox.mControlAddress,
-    MakeProbe(NewsFor(aBox.mName)),
+    MakeProbe(UpdatesFor(aBox.mName)),
     mSettings.mTiming.mProbeTimeout,
-    [this, aBox](const PeerResult& aResult) { OnProbed(aBox, aResult); });
+    [this, aBox](const PeerResult& aResult) { OnProbeResult(aBox, aResult); });
 }
 
 void
-MembershipController::TakeBeliefs(
+MembershipController::ApplyUpdates(
   const google::protobuf::RepeatedPtrField<wire::Member>& aMembers)
 {
   const auto updates = DecodeMembers(aMembers);
@@ -222,12 +225,12 @@
     const std::lock_guard lock(mMutex);
     mMembership.OnUpdates(updates, Now());
   }
-  TellUrgent();
+  SendUrgentUpdates();
 }
 
 void
-MembershipController::NoteRevision(const std::string& aFromBox,
-                                   const PeerRevision& aRevision)
+MembershipController::ReportPeerRevision(const std::string& aFromBox,
+                                         const PeerRevision& aRevision)
 {
   if (const auto spec = SpecOf(BoxName(aFromBox))) {
     auto revision = aRevision;
@@ -237,10 +240,11 @@
 }
 
 void
-MembershipController::OnProbed(const BoxSpec& aBox, const PeerResult& aResult)
+MembershipController::OnProbeResult(const BoxSpec& aBox,
+                                    const PeerResult& aResult)
 {
   if (!aResult || !aResult->has_probe_reply()) {
-    AskHelpers(aBox);
+    SendIndirectProbes(aBox);
     return;
   }
   const auto& reply = aResult->probe_reply();
@@ -248,12 +252,12 @@
     const std::lock_guard lock(mMutex);
     mMembership.OnReached(aBox.mName, Incarnation(aResult->from_incarnation()));
   }
-  TakeBeliefs(reply.members());
-  NoteRevision(aBox.mName.Value(), RevisionOf(reply));
+  ApplyUpdates(reply.members());
+  ReportPeerRevision(aBox.mName.Value(), RevisionOf(reply));
 }
 
 void
-MembershipController::AskHelpers(const BoxSpec& aBox)
+MembershipController::SendIndirectProbes(const BoxSpec& aBox)
 {
   std::vector<BoxName> helpers;
   {
@@ -275,7 +279,7 @@
         mMembership.OnNotReached(aBox.mName, Now());
       }
     }
-    TellUrgent();
+    SendUrgentUpdates();
   };
   if (helpers.empty()) {
     finish(tl::make_unexpected(PeerError{}));
@@ -300,16 +304,16 @@
 MembershipController::OnProbe(const wire::Envelope& aRequest)
 {
   const auto& probe = aRequest.probe();
-  TakeBeliefs(probe.members());
-  NoteRevision(aRequest.from_box(), RevisionOf(probe));
+  ApplyUpdates(probe.members());
+  ReportPeerRevision(aRequest.from_box(), RevisionOf(probe));
   if (aRequest.correlation() == 0) {
-    return std::nullopt; // news that nobody waits for a reply to
+    return std::nullopt; // sent without expecting a reply
   }
   const auto own = mHooks.mOwnRevision();
   wire::Envelope envelope;
   auto* reply = envelope.mutable_probe_reply();
   SetRevision(own, *reply);
-  EncodeMembers(NewsFor(BoxName(aRequest.from_box())),
+  EncodeMembers(UpdatesFor(BoxName(aRequest.from_box())),
                 *reply->mutable_members());
   return envelope;
 }
@@ -326,7 +330,7 @@
     return;
   }
   mTransport.Send(spec->mControlAddress,
-                  MakeProbe(NewsFor(spec->mName)),
+                  MakeProbe(UpdatesFor(spec->mName)),
                   mSettings.mTiming.mProbeTimeout,
                   [aReply](const PeerResult& aResult) {
                     wire::Envelope envelope;
@@ -353,7 +357,7 @@
 }
 
 bool
-MembershipController::IsGone(const BoxName& aBox) const
+MembershipController::IsUnavailable(const BoxName& aBox) const
 {
   const std::lock_guard lock(mMutex);
   const auto* spec = mSnapshot ? mSnapshot->FindBox(aBox) : nullptr;
--- a/packages/control/src/NewsController.cpp
+++ b/packages/control/src/NewsController.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Silence is noticed at most this late; a look sums up at most 16 requests.
+// Maximum delay until an unresponsive server is noticed; a check sums up at
+// most 16 requests.
 constexpr Millis kTick{ 100 };
 
 } // namespace
@@ -41,13 +42,13 @@
 {
   for (const auto& server : mHome.Servers()) {
     if (const auto news = server->TakeNews(Now())) {
-      Tell(*news);
+      Notify(*news);
     }
   }
 }
 
 void
-NewsController::Tell(const ServerNews& aNews)
+NewsController::Notify(const ServerNews& aNews)
 {
   const auto snapshot = mSnapshot();
   if (!snapshot) {
@@ -72,7 +73,8 @@
       mView.OnNews(aNews, Now());
       continue;
     }
-    // Whoever misses it asks the home with its next request.
+    // A box that misses the message learns the state when it next sends a
+    // request to the home.
     mTransport.Tell(box->mControlAddress, message);
   }
   LogLine(LogLevel::kInfo, "server_news")
--- a/packages/control/src/StatusController.cpp
+++ b/packages/control/src/StatusController.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr Millis kCallTimeout{ 3000 };
-constexpr Millis kInterval{ 2000 }; // also the most frequent write
-constexpr Millis kAskTimeout{ 300 };
-constexpr Millis kFullRound{ 300'000 }; // everyone is asked again
+constexpr Millis kInterval{ 2000 }; // of checks, with at most one write each
+constexpr Millis kQueryTimeout{ 300 };
+constexpr Millis kFullRoundInterval{ 300'000 }; // all boxes are queried again
 constexpr const char* kOwnerKeyPrefix = "status/";
 
 Poco::JSON::Array
@@ -78,7 +78,7 @@
   wire::Envelope request;
   request.mutable_probe();
   const auto reply =
-    mTransport.Call(aBox.mControlAddress, std::move(request), kAskTimeout);
+    mTransport.Call(aBox.mControlAddress, std::move(request), kQueryTimeout);
   return reply && reply->has_probe_reply() ? reply->probe_reply().revision()
                                            : 0;
 }
@@ -86,10 +86,10 @@
 void
 StatusController::Collect(const Snapshot& aSnapshot)
 {
-  if (mCollected != aSnapshot.mRevision || Now() >= mNextFullRound) {
+  if (mCollectedRevision != aSnapshot.mRevision || Now() >= mNextFullRound) {
     mRevisions.clear();
-    mCollected = aSnapshot.mRevision;
-    mNextFullRound = Now() + kFullRound;
+    mCollectedRevision = aSnapshot.mRevision;
+    mNextFullRound = Now() + kFullRoundInterval;
   }
   std::erase_if(mRevisions, [&](const auto& aItem) {
     return aSnapshot.FindBox(aItem.first) == nullptr;
@@ -106,11 +106,11 @@
 StatusController::Describe(const Snapshot& aSnapshot) const
 {
   Poco::JSON::Array behind;
-  Poco::JSON::Array silent;
+  Poco::JSON::Array unresponsive;
   std::size_t inForce = 0;
   for (const auto& [box, revision] : mRevisions) {
     if (revision == 0) {
-      silent.add(box.Value());
+      unresponsive.add(box.Value());
     } else if (revision < aSnapshot.mRevision) {
       behind.add(box.Value());
     } else {
@@ -121,7 +121,7 @@
   status.set("accepted_revision", aSnapshot.mRevision);
   status.set("boxes_in_force", inForce);
   status.set("boxes_behind", behind);
-  status.set("boxes_silent", silent);
+  status.set("boxes_silent", unresponsive);
   status.set("rejected", RejectionsJson(aSnapshot));
   status.set("writer", mSettings.mBox.Value());
   return ToJsonText(status);
@@ -142,11 +142,11 @@
     const auto reported =
       json ? (*json)->optValue<std::uint64_t>("accepted_revision", 0) : 0;
     if (reported > aRevision) {
-      return; // this box is behind; the newer revision has its own writer
+      return; // this box is behind; another one writes the newer revision
     }
   }
   if (WriteSettled(mClient, key, held ? held->mVersion : 0, aStatus)) {
-    mWritten = aStatus;
+    mWrittenStatus = aStatus;
   }
 }
 
@@ -156,13 +156,13 @@
   const auto snapshot = mConfig.Current();
   if (!snapshot || !mConfig.PlatformReachable() ||
       !IsWriter(snapshot->mRevision)) {
-    mWritten.clear();
-    mCollected = 0;
+    mWrittenStatus.clear();
+    mCollectedRevision = 0;
     return;
   }
   Collect(*snapshot);
   const auto status = Describe(*snapshot);
-  if (status != mWritten) {
+  if (status != mWrittenStatus) {
     Write(snapshot->mRevision, status);
   }
 }
--- a/packages/control/src/StoreClient.cpp
+++ b/packages/control/src/StoreClient.cpp
@@ -7,8 +7,10 @@
 
 namespace {
 
-// Of the time that a change has to be in force, as its watchers' patience.
-constexpr int kPatiencePart = 4;
+// An unresponsive connection is replaced after this fraction of the time
+// within which a change must be in force; see kWatchStepDivisor in
+// ConfigController.cpp.
+constexpr int kPatienceDivisor = 4;
 
 } // namespace
 
@@ -25,7 +27,7 @@
   };
   return { .mAddress = aSettings.mPlatformAddress,
            .mTimeout = aTimeout,
-           .mKeptPatience = aSettings.mTiming.mApply / kPatiencePart,
+           .mKeptPatience = aSettings.mTiming.mApply / kPatienceDivisor,
            .mDialect = StoreDialectOf(aSettings),
            .mOnKeptFailed = log };
 }
--- a/packages/control/src/UnreadableObjects.cpp
+++ b/packages/control/src/UnreadableObjects.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr std::size_t kMaxText = 200;
+constexpr std::size_t kMaxTextBytes = 200;
 
 std::string
 Shortened(const std::string& aText)
 {
-  return aText.substr(0, kMaxText);
+  return aText.substr(0, kMaxTextBytes);
 }
 
 } // namespace
@@ -44,7 +44,7 @@
     return false;
   }
   mOrder.push_back(aObject);
-  if (mOrder.size() > kRemembered) {
+  if (mOrder.size() > kMaxLoggedVersions) {
     mLogged.erase(mOrder.front());
     mOrder.pop_front();
   }
--- a/packages/control/src/Worker.cpp
+++ b/packages/control/src/Worker.cpp
@@ -60,7 +60,7 @@
 
 // Under mMutex.
 void
-Worker::TakeDelayed()
+Worker::MoveDueJobs()
 {
   const auto now = std::chrono::steady_clock::now();
   while (!mDelayed.empty() && mDelayed.begin()->first <= now) {
@@ -74,7 +74,7 @@
 {
   std::unique_lock lock(mMutex);
   for (;;) {
-    TakeDelayed();
+    MoveDueJobs();
     if (mStopping) {
       return;
     }
