--- a/packages/control/tests/ConfigControllerTest.cpp
+++ b/packages/control/tests/ConfigControllerTest.cpp
@@ -1,4 +1,4 @@
-// How a node learns its configuration from peers.
+// How a node receives its configuration from peers.
 #include "porttiller/control/ConfigController.h"
 
 #include "porttiller/control/ControlCodec.h"
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kOwnAddress = "127.0.0.1:22961";
-constexpr const char* kSilentAddress = "127.0.0.1:22962";
+constexpr const char* kUnresponsiveAddress = "127.0.0.1:22962";
 constexpr const char* kAnsweringAddress = "127.0.0.1:22963";
 constexpr const char* kNoPlatform = "127.0.0.1:22964"; // nothing listens there
 
@@ -59,8 +59,8 @@
   return settings;
 }
 
-// The box under test. As in a node, its transport ends before its controller:
-// what is still asked must not call back later.
+// The box under test. As in a node, its transport is destroyed before its
+// controller, since callbacks of pending requests use the controller.
 struct OwnBox
 {
   OwnBox() = default;
@@ -93,21 +93,22 @@
 
 } // namespace
 
-TEST_CASE("A peer that does not answer keeps no other one from being asked")
+TEST_CASE("An unresponsive peer does not delay delta requests to other peers")
 {
-  // Found on the users' days: a box learned of a change 3.4 s late, as a cut
-  // peer held its one question open.
-  const auto silent = MakePeer(kSilentAddress, "silent", false);
+  // If only one request may be open, an unreachable peer holds it until it
+  // times out, and a box learns of a change too late: after 3.4 s in a fleet.
+  const auto unresponsive = MakePeer(kUnresponsiveAddress, "silent", false);
   const auto answering = MakePeer(kAnsweringAddress, "answering", true);
   OwnBox own;
   auto& controller = own.mController;
   controller.Start();
-  controller.OnPeerRevision({ .mAddress = kSilentAddress, .mRevision = 5 });
+  controller.OnPeerRevision(
+    { .mAddress = kUnresponsiveAddress, .mRevision = 5 });
   controller.OnPeerRevision({ .mAddress = kAnsweringAddress, .mRevision = 5 });
   CHECK(WaitRevision(controller, 5));
 }
 
-TEST_CASE("A change announced while its announcer is asked is in force")
+TEST_CASE("A change announced during a delta request to the peer is applied")
 {
   std::atomic<bool> announced{ false };
   std::atomic<std::uint64_t> revision{ 5 };
@@ -127,17 +128,18 @@
   auto& controller = own.mController;
   controller.Start();
   controller.OnPeerRevision({ .mAddress = kAnsweringAddress, .mRevision = 5 });
-  std::this_thread::sleep_for(Millis(50)); // the question is on its way
+  std::this_thread::sleep_for(Millis(50)); // the request is in flight
   revision = 6;
   controller.OnPeerRevision({ .mAddress = kAnsweringAddress, .mRevision = 6 });
   announced = true;
   CHECK(WaitRevision(controller, 6));
 }
 
-TEST_CASE("What a peer tells before the start is in force, and heard of later")
+TEST_CASE("A delta received before Start is applied and reported at Start")
 {
-  // Found by a fleet test: a box that started among running ones ended with
-  // bad_function_call when a peer's change came before its own start was done.
+  // A box that starts in a running fleet may receive a peer's delta before its
+  // own start is complete. Calling listeners then ends the process with
+  // bad_function_call, as they are not all set up.
   const auto answering = MakePeer(kAnsweringAddress, "answering", true);
   OwnBox own;
   auto& controller = own.mController;
--- a/packages/control/tests/ControlCodecTest.cpp
+++ b/packages/control/tests/ControlCodecTest.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("A message keeps its good records, and reports the others")
+TEST_CASE("DecodeRecords returns valid records and reports unreadable ones")
 {
   auto message = EncodeRecords({ Record("a"), Record("b") });
   message.add_records("{}");
@@ -41,7 +41,7 @@
   CHECK(decoded.mUnreadable[2].mDetail.find("slots") != std::string::npos);
 }
 
-TEST_CASE("Mutated control messages are read or left out")
+TEST_CASE("Mutated control messages do not affect valid records")
 {
   wire::Envelope envelope;
   envelope.set_from_box("a");
@@ -63,7 +63,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("Uses and grants of workspaces come back as they were sent")
+TEST_CASE("Workspace uses and grants survive a round trip through the codec")
 {
   const WorkspaceUses uses = {
     { .mWorkspace = WorkspaceName("a"),
