--- a/packages/hop/include/porttiller/hop/Cutoff.h
+++ b/packages/hop/include/porttiller/hop/Cutoff.h
@@ -1,4 +1,4 @@
-// The point at which a planned stop ends every wait.
+// The deadline at which a planned stop of the daemon ends every wait.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -8,31 +8,31 @@
 
 namespace porttiller {
 
-// Shared by all that wait for a request; set once, when draining begins.
-// Thread-safe.
+// Shared by all threads that wait on behalf of a request; set once, when
+// draining begins. Thread-safe.
 class Cutoff
 {
 public:
-  // Waits look for a planned stop this often. Callers that go end them by
-  // themselves; a stop is bounded by seconds.
-  static constexpr Millis kSlice{ 400 };
+  // Interval at which waits check for a planned stop. A stop takes seconds, so
+  // it need not interrupt a wait at once; a caller that disconnects does.
+  static constexpr Millis kCheckInterval{ 400 };
 
   void Set(TimePoint aEnd) { mEnd = aEnd.time_since_epoch().count(); }
 
-  // A planned stop has begun.
+  // True once a planned stop has begun.
   bool IsSet() const
   {
     return mEnd != TimePoint::max().time_since_epoch().count();
   }
 
-  // The end of a wait that wants to last until aUntil.
+  // Returns aUntil or the end of the planned stop, whichever is earlier.
   TimePoint Limit(TimePoint aUntil) const
   {
     return std::min(aUntil, TimePoint(Micros(mEnd)));
   }
 
-  // Calls aWait with the end of each slice until it returns true or the wait
-  // is over; returns what the last call did.
+  // Calls aWait with the end of each interval until it returns true or
+  // Limit(aUntil) has passed; returns the result of the last call.
   template<typename Wait>
   bool WaitInSlices(TimePoint aUntil, Wait aWait) const
   {
@@ -40,14 +40,15 @@
       aUntil, [] { return false; }, aWait);
   }
 
-  // As above; ends between two slices, with false, once aStop says so.
+  // As above, but also returns false when aStop returns true between two
+  // intervals.
   template<typename Stop, typename Wait>
   bool WaitInSlices(TimePoint aUntil, Stop aStop, Wait aWait) const
   {
     for (;;) {
       const auto now = Now();
       const auto end = Limit(aUntil);
-      if (aWait(std::min<TimePoint>(end, now + kSlice))) {
+      if (aWait(std::min<TimePoint>(end, now + kCheckInterval))) {
         return true;
       }
       if (Now() >= end || aStop()) {
--- a/packages/hop/include/porttiller/hop/Dialects.h
+++ b/packages/hop/include/porttiller/hop/Dialects.h
@@ -1,4 +1,4 @@
-// The dialects that the settings choose.
+// Header names and object API of the dialect that the settings choose.
 #pragma once
 
 #include "porttiller/config/EdgeHeaders.h"
--- a/packages/hop/include/porttiller/hop/HomeTypes.h
+++ b/packages/hop/include/porttiller/hop/HomeTypes.h
@@ -1,4 +1,4 @@
-// What an entry asks of a home and what the home answers.
+// The request that an entry sends to a home, and the home's answer.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -12,7 +12,8 @@
 
 namespace porttiller {
 
-// The reason of an unknown outcome that says something of a server's silence.
+// Reason of an unknown outcome when the server did not answer in time. It is
+// evidence that the server hangs.
 inline constexpr const char* kTimeoutReason = "server-timeout";
 
 struct HomeRequest
@@ -22,28 +23,29 @@
   BackendServerName mServer;
   Priority mPriority = Priority::kNormal;
   bool mRepeatable = false;
-  bool mMayFail = false; // another server may still get it after this one
-  bool mLastResort = false;
-  bool mRepeat = false; // another server has got the request already
-  // Of the service's answers that the entry has seen, those that were errors.
+  bool mMayFail = false;    // another server can still take it after a failure
+  bool mLastResort = false; // no other server accepts it
+  bool mRepeat = false;     // the request was sent to another server before
+  // Share of errors among the service's answers that the entry has seen.
   double mUsualErrors = 0.0;
-  TimePoint mDeadline; // on the clock of the process that holds the value
+  TimePoint mDeadline; // on the monotonic clock of this process
   std::string mRequestKey;
-  std::string mRoute;     // the class of call, for detection
-  std::string mRequestId; // the caller's, for logs; may be empty
-  CancelFlag mCancelled;  // of this process alone; may be null
+  std::string mRoute;     // class of requests whose latencies are compared
+  std::string mRequestId; // from the caller, for logs; may be empty
+  CancelFlag mCancelled;  // never encoded; may be null
   HttpRequestData mHttp;
 };
 
-// True for a request whose caller may ask again what became of it: its home
-// waits for the answer past the deadline, to have it on record.
+// True for a request that is not repeatable and has a request key. Its caller
+// may query the outcome later, so its home waits past the deadline for the
+// answer and records it.
 inline bool
 Lingers(const HomeRequest& aRequest)
 {
   return !aRequest.mRepeatable && !aRequest.mRequestKey.empty();
 }
 
-// True once nobody waits for the answer any more, nor will ask for it.
+// True once nobody waits for the answer and nobody can query it later.
 inline bool
 IsCancelled(const HomeRequest& aRequest)
 {
@@ -51,7 +53,7 @@
          !Lingers(aRequest);
 }
 
-// What ends the waits of a request early; null when nothing does.
+// Returns the flag that cancels the waits of a request; null when none does.
 inline CancelFlag
 CancellationOf(const HomeRequest& aRequest)
 {
@@ -62,10 +64,10 @@
 {
   Outcome mOutcome = Outcome::kUnknown;
   Refusal mRefusal = Refusal::kNone;
-  Millis mRetryAfter{ 0 }; // with a refusal
-  double mLoad = 0.0;      // share of the server's slots in use or waited for
-  // With kRun: nine in ten requests of the route take no longer here; zero
-  // while that is not known.
+  Millis mRetryAfter{ 0 }; // with kNotRun
+  double mLoad = 0.0;      // running and waiting requests per slot
+  // With kRun: 90th percentile of the route's latency at this server; zero
+  // while unknown.
   Micros mUsualTime{ 0 };
   HttpAnswer mHttp;    // with kRun
   std::string mReason; // with kUnknown
--- a/packages/hop/include/porttiller/hop/HopCodec.h
+++ b/packages/hop/include/porttiller/hop/HopCodec.h
@@ -1,39 +1,39 @@
-// Home requests and answers as HTTP, and back.
+// Encodes home requests and answers as HTTP messages, and decodes them.
 #pragma once
 
 #include "porttiller/hop/HomeTypes.h"
 
 namespace porttiller {
 
-// The HTTP request that carries aRequest. aHomeClockOffset, once known, is the
-// home's clock less the entry's; with it the deadline travels as a point in
-// time, which waiting in a buffer cannot stretch.
+// Returns the HTTP request that carries aRequest. aHomeClockOffset, once known,
+// is the home's clock minus the entry's. With it the deadline is also sent as a
+// point on the home's clock, so that time spent in buffers does not extend it.
 HttpRequestData
 EncodeHomeRequest(const HomeRequest& aRequest,
                   std::optional<Millis> aHomeClockOffset,
                   TimePoint aNow);
 
-// Null when its fields are missing or malformed. aHttp keeps the caller's
-// headers.
+// Returns null when fields are missing or malformed. Removes the headers that
+// end at this hop; the caller's headers stay.
 std::optional<HomeRequest>
 DecodeHomeRequest(HttpRequestData aHttp, TimePoint aNow);
 
-// The headers that aAnswer adds to its HTTP answer.
+// Returns the headers that carry aAnswer in its HTTP answer.
 HttpHeaders
 EncodeHomeAnswer(const HomeAnswer& aAnswer,
                  const AttemptId& aAttempt,
                  Incarnation aIncarnation,
                  TimePoint aNow);
 
-// A home's answer with what it tells of the home itself.
+// A home's answer, with the state of the home that came with it.
 struct DecodedHomeAnswer
 {
   HomeAnswer mAnswer;
   Incarnation mIncarnation;
-  Millis mHomeClock{ 0 }; // its monotonic clock when it answered
+  Millis mHomeClock{ 0 }; // the home's monotonic clock when it answered
 };
 
-// Null when it is no answer to aAttempt: another's, or not from a home.
+// Returns null when aHttp answers another attempt or is not from a home.
 std::optional<DecodedHomeAnswer>
 DecodeHomeAnswer(HttpAnswer aHttp, const AttemptId& aAttempt);
 
--- a/packages/hop/include/porttiller/hop/HopHeaders.h
+++ b/packages/hop/include/porttiller/hop/HopHeaders.h
@@ -1,4 +1,5 @@
-// Names of the headers that callers see and of those between entry and home.
+// Names of the headers between callers and entry, between entry and home, and
+// between home and backend server.
 #pragma once
 
 namespace porttiller::hop {
@@ -8,15 +9,15 @@
 inline constexpr const char* kRepeatable = "Porttiller-Repeatable";
 inline constexpr const char* kRequestKey = "Porttiller-Request-Key";
 inline constexpr const char* kKey = "Porttiller-Key";
-// To backend servers. Without the prefix of headers that end at one hop.
+// To backend servers. Lacks the prefix of the headers that a hop removes.
 inline constexpr const char* kWorkspace = "Caller-Workspace";
-// To callers; kToken also back from them.
+// To callers; a caller sends kToken back to query the outcome.
 inline constexpr const char* kOutcome = "Porttiller-Outcome";
 inline constexpr const char* kToken = "Porttiller-Token";
 inline constexpr const char* kReason = "Porttiller-Reason";
 inline constexpr const char* kRetryAfterMs = "Porttiller-Retry-After-Ms";
-// Between entry and home: all that they tell each other about an attempt.
-// HopCodec has the fields.
+// Between entry and home: the fields of an attempt and of its answer. HopCodec
+// defines them.
 inline constexpr const char* kRequestHop = "Porttiller-Try";
 inline constexpr const char* kAnswerHop = "Porttiller-Told";
 
--- a/packages/hop/include/porttiller/hop/Random.h
+++ b/packages/hop/include/porttiller/hop/Random.h
@@ -1,4 +1,5 @@
-// The daemon's random source; the policy library has none of its own.
+// Random numbers of the daemon. The policy library takes them as arguments, so
+// that its tests are deterministic.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,8 @@
 
 namespace porttiller {
 
-// A uniform 64-bit draw; each thread has its own generator.
+// Returns a uniformly distributed 64-bit number. Each thread has its own
+// generator.
 inline std::uint64_t
 Random()
 {
--- a/packages/hop/src/HopCodec.cpp
+++ b/packages/hop/src/HopCodec.cpp
@@ -10,33 +10,33 @@
 
 namespace {
 
-constexpr double kLoadScale = 1000.0;
-constexpr double kErrorScale = 100.0;
+constexpr double kPermille = 1000.0; // unit of the load
+constexpr double kPercent = 100.0;   // unit of the service's error rate
 constexpr char kSeparator = ';';
 constexpr const char* kNone = "-";
 constexpr char kRepeatableFlag = 'r';
-constexpr char kMayFailFlag = 'f';
+constexpr char kCanFailOverFlag = 'f';
 constexpr char kLastResortFlag = 'l';
-constexpr char kRepeatFlag = 'p';
+constexpr char kRetryFlag = 'p';
 
-// The one header between entry and home: its fields in a fixed order. Bytes
-// between availability zones cost, so they are few.
-class FieldWriter
+// Writes the single header between entry and home: its fields in a fixed order,
+// without names. Traffic between availability zones is charged by the byte.
+class HopFieldWriter
 {
 public:
-  FieldWriter& Add(std::string_view aText)
+  HopFieldWriter& Add(std::string_view aText)
   {
     mText += mText.empty() ? "" : std::string(1, kSeparator);
     mText += aText.empty() ? kNone : aText;
     return *this;
   }
 
-  FieldWriter& Add(std::int64_t aNumber)
+  HopFieldWriter& Add(std::int64_t aNumber)
   {
     return Add(std::to_string(std::max<std::int64_t>(0, aNumber)));
   }
 
-  FieldWriter& Add(Incarnation aIncarnation)
+  HopFieldWriter& Add(Incarnation aIncarnation)
   {
     return Add(std::to_string(aIncarnation.Value()));
   }
@@ -47,11 +47,12 @@
   std::string mText;
 };
 
-// Fields of a header in their order; "" for one that is missing or empty.
-class HopFields
+// Reads the fields of such a header by index. A missing or empty field reads as
+// "".
+class HopFieldReader
 {
 public:
-  explicit HopFields(const std::string& aText)
+  explicit HopFieldReader(const std::string& aText)
     : mFields(aText, std::string(1, kSeparator))
   {
   }
@@ -71,7 +72,7 @@
   Poco::StringTokenizer mFields;
 };
 
-// The order of the fields.
+// The order of the fields is the wire format.
 namespace request_field {
 enum Index : std::size_t
 {
@@ -79,11 +80,11 @@
   kHomeIncarnation,
   kServer,
   kPriority,
-  kBudget,
-  kHomeDeadline,
+  kRemainingMs,
+  kHomeDeadlineMs,
   kFlags,
   kRoute,
-  kUsualErrors
+  kErrorPercent
 };
 } // namespace request_field
 
@@ -94,11 +95,11 @@
   kIncarnation,
   kOutcome,
   kRefusal,
-  kClock,
-  kLoad,
-  kRetryAfter,
+  kHomeClockMs,
+  kLoadPermille,
+  kRetryAfterMs,
   kReason,
-  kUsualTime
+  kP90LatencyMs
 };
 } // namespace answer_field
 
@@ -107,14 +108,14 @@
 {
   std::string flags;
   flags += aRequest.mRepeatable ? std::string(1, kRepeatableFlag) : "";
-  flags += aRequest.mMayFail ? std::string(1, kMayFailFlag) : "";
+  flags += aRequest.mMayFail ? std::string(1, kCanFailOverFlag) : "";
   flags += aRequest.mLastResort ? std::string(1, kLastResortFlag) : "";
-  flags += aRequest.mRepeat ? std::string(1, kRepeatFlag) : "";
+  flags += aRequest.mRepeat ? std::string(1, kRetryFlag) : "";
   return flags;
 }
 
 bool
-Has(const std::string& aFlags, char aFlag)
+HasFlag(const std::string& aFlags, char aFlag)
 {
   return aFlags.find(aFlag) != std::string::npos;
 }
@@ -133,7 +134,7 @@
                   TimePoint aNow)
 {
   auto http = aRequest.mHttp;
-  FieldWriter fields;
+  HopFieldWriter fields;
   fields.Add(aRequest.mAttempt.ToString())
     .Add(aRequest.mHomeIncarnation)
     .Add(aRequest.mServer.Value())
@@ -145,7 +146,7 @@
     fields.Add("");
   }
   fields.Add(FlagsOf(aRequest)).Add(aRequest.mRoute);
-  fields.Add(static_cast<std::int64_t>(aRequest.mUsualErrors * kErrorScale));
+  fields.Add(static_cast<std::int64_t>(aRequest.mUsualErrors * kPercent));
   http.mHeaders.push_back({ hop::kRequestHop, fields.Take() });
   if (!aRequest.mRequestKey.empty()) {
     http.mHeaders.push_back({ hop::kRequestKey, aRequest.mRequestKey });
@@ -157,32 +158,32 @@
 DecodeHomeRequest(HttpRequestData aHttp, TimePoint aNow)
 {
   using namespace request_field;
-  const HopFields fields(HeaderValue(aHttp.mHeaders, hop::kRequestHop));
+  const HopFieldReader fields(HeaderValue(aHttp.mHeaders, hop::kRequestHop));
   const auto attempt = AttemptId::Parse(fields.Text(kAttempt));
   const auto incarnation = fields.Number(kHomeIncarnation);
-  const auto budget = fields.Number(kBudget);
+  const auto remaining = fields.Number(kRemainingMs);
   const auto priority = fields.Number(kPriority);
-  if (!attempt || !incarnation || !budget || !priority ||
+  if (!attempt || !incarnation || !remaining || !priority ||
       *priority >= kPriorityCount) {
     return std::nullopt;
   }
   HomeRequest request{ .mAttempt = *attempt,
                        .mHomeIncarnation = Incarnation(*incarnation),
                        .mPriority = static_cast<Priority>(*priority),
-                       .mDeadline = aNow + Millis(*budget) };
-  if (const auto deadline = fields.Number(kHomeDeadline)) {
+                       .mDeadline = aNow + Millis(*remaining) };
+  if (const auto deadline = fields.Number(kHomeDeadlineMs)) {
     request.mDeadline =
       std::min(request.mDeadline, TimePoint(Millis(*deadline)));
   }
   const auto flags = fields.Text(kFlags);
-  request.mRepeatable = Has(flags, kRepeatableFlag);
-  request.mMayFail = Has(flags, kMayFailFlag);
-  request.mLastResort = Has(flags, kLastResortFlag);
-  request.mRepeat = Has(flags, kRepeatFlag);
+  request.mRepeatable = HasFlag(flags, kRepeatableFlag);
+  request.mMayFail = HasFlag(flags, kCanFailOverFlag);
+  request.mLastResort = HasFlag(flags, kLastResortFlag);
+  request.mRepeat = HasFlag(flags, kRetryFlag);
   request.mServer = BackendServerName(fields.Text(kServer));
   request.mRoute = fields.Text(kRoute);
   request.mUsualErrors =
-    static_cast<double>(fields.Number(kUsualErrors).value_or(0)) / kErrorScale;
+    static_cast<double>(fields.Number(kErrorPercent).value_or(0)) / kPercent;
   request.mRequestKey = HeaderValue(aHttp.mHeaders, hop::kRequestKey);
   aHttp.mHeaders = WithoutHopHeaders(aHttp.mHeaders);
   request.mHttp = std::move(aHttp);
@@ -195,13 +196,13 @@
                  Incarnation aIncarnation,
                  TimePoint aNow)
 {
-  FieldWriter fields;
+  HopFieldWriter fields;
   fields.Add(static_cast<std::int64_t>(aAttempt.Sequence()))
     .Add(aIncarnation)
     .Add(static_cast<std::int64_t>(aAnswer.mOutcome))
     .Add(ToText(aAnswer.mRefusal))
     .Add(ToMillis(aNow))
-    .Add(static_cast<std::int64_t>(aAnswer.mLoad * kLoadScale))
+    .Add(static_cast<std::int64_t>(aAnswer.mLoad * kPermille))
     .Add(aAnswer.mRetryAfter.count())
     .Add(aAnswer.mReason);
   if (aAnswer.mUsualTime > Micros(0)) {
@@ -214,11 +215,11 @@
 DecodeHomeAnswer(HttpAnswer aHttp, const AttemptId& aAttempt)
 {
   using namespace answer_field;
-  const HopFields fields(HeaderValue(aHttp.mHeaders, hop::kAnswerHop));
+  const HopFieldReader fields(HeaderValue(aHttp.mHeaders, hop::kAnswerHop));
   const auto outcome = fields.Number(kOutcome);
   const auto refusal = ParseRefusal(fields.Text(kRefusal));
   const auto incarnation = fields.Number(kIncarnation);
-  const auto clock = fields.Number(kClock);
+  const auto clock = fields.Number(kHomeClockMs);
   if (fields.Number(kSequence) != aAttempt.Sequence() || !outcome ||
       *outcome > static_cast<std::uint64_t>(Outcome::kUnknown) || !refusal ||
       !incarnation || !clock) {
@@ -231,10 +232,10 @@
   answer.mOutcome = static_cast<Outcome>(*outcome);
   answer.mRefusal = *refusal;
   answer.mLoad =
-    static_cast<double>(fields.Number(kLoad).value_or(0)) / kLoadScale;
-  answer.mRetryAfter = Millis(fields.Number(kRetryAfter).value_or(0));
+    static_cast<double>(fields.Number(kLoadPermille).value_or(0)) / kPermille;
+  answer.mRetryAfter = Millis(fields.Number(kRetryAfterMs).value_or(0));
   answer.mReason = fields.Text(kReason);
-  answer.mUsualTime = Millis(fields.Number(kUsualTime).value_or(0));
+  answer.mUsualTime = Millis(fields.Number(kP90LatencyMs).value_or(0));
   answer.mHttp = std::move(aHttp);
   return decoded;
 }
--- a/packages/hop/tests/HopCodecTest.cpp
+++ b/packages/hop/tests/HopCodecTest.cpp
@@ -32,37 +32,37 @@
 
 } // namespace
 
-TEST_CASE("A home reads what the entry wrote")
+TEST_CASE("A home request is decoded as it was encoded")
 {
   const auto request = MakeRequest();
-  const auto read =
+  const auto decoded =
     DecodeHomeRequest(EncodeHomeRequest(request, std::nullopt, kNow), kNow);
-  REQUIRE(read);
-  CHECK(read->mAttempt == request.mAttempt);
-  CHECK(read->mHomeIncarnation == request.mHomeIncarnation);
-  CHECK(read->mServer == request.mServer);
-  CHECK(read->mPriority == request.mPriority);
-  CHECK(read->mRepeatable);
-  CHECK(read->mMayFail);
-  CHECK_FALSE(read->mLastResort);
-  CHECK(read->mRepeat);
-  CHECK(read->mDeadline == request.mDeadline);
-  CHECK(read->mRequestKey == "key");
-  CHECK(read->mRoute == "r");
-  CHECK(read->mHttp.mBody == "body");
-  CHECK(read->mHttp.mHeaders == request.mHttp.mHeaders);
+  REQUIRE(decoded);
+  CHECK(decoded->mAttempt == request.mAttempt);
+  CHECK(decoded->mHomeIncarnation == request.mHomeIncarnation);
+  CHECK(decoded->mServer == request.mServer);
+  CHECK(decoded->mPriority == request.mPriority);
+  CHECK(decoded->mRepeatable);
+  CHECK(decoded->mMayFail);
+  CHECK_FALSE(decoded->mLastResort);
+  CHECK(decoded->mRepeat);
+  CHECK(decoded->mDeadline == request.mDeadline);
+  CHECK(decoded->mRequestKey == "key");
+  CHECK(decoded->mRoute == "r");
+  CHECK(decoded->mHttp.mBody == "body");
+  CHECK(decoded->mHttp.mHeaders == request.mHttp.mHeaders);
 }
 
-TEST_CASE("A deadline as a point in time is not stretched on the way")
+TEST_CASE("Transit time does not extend a deadline on the home's clock")
 {
   const auto http = EncodeHomeRequest(MakeRequest(), Millis(1000), kNow);
-  // The home's clock is one second ahead; the message was 300 ms under way.
-  const auto read = DecodeHomeRequest(http, kNow + Millis(1300));
-  REQUIRE(read);
-  CHECK(read->mDeadline == kNow + Millis(1900));
+  // The home's clock is one second ahead; the message takes 300 ms.
+  const auto decoded = DecodeHomeRequest(http, kNow + Millis(1300));
+  REQUIRE(decoded);
+  CHECK(decoded->mDeadline == kNow + Millis(1900));
 }
 
-TEST_CASE("An entry reads what the home wrote, for its own attempt only")
+TEST_CASE("A home answer is decoded as it was encoded, for its attempt only")
 {
   const HomeAnswer answer{ .mOutcome = Outcome::kNotRun,
                            .mRefusal = Refusal::kDemoted,
@@ -73,20 +73,20 @@
   const HttpAnswer http{ .mStatus = 503,
                          .mHeaders = EncodeHomeAnswer(
                            answer, request.mAttempt, Incarnation(8), kNow) };
-  const auto read = DecodeHomeAnswer(http, request.mAttempt);
-  REQUIRE(read);
-  CHECK(read->mIncarnation == Incarnation(8));
-  CHECK(read->mHomeClock == Millis(50'000));
-  CHECK(read->mAnswer.mOutcome == answer.mOutcome);
-  CHECK(read->mAnswer.mRefusal == answer.mRefusal);
-  CHECK(read->mAnswer.mRetryAfter == answer.mRetryAfter);
-  CHECK(read->mAnswer.mLoad == doctest::Approx(0.75));
-  CHECK(read->mAnswer.mReason == "because");
+  const auto decoded = DecodeHomeAnswer(http, request.mAttempt);
+  REQUIRE(decoded);
+  CHECK(decoded->mIncarnation == Incarnation(8));
+  CHECK(decoded->mHomeClock == Millis(50'000));
+  CHECK(decoded->mAnswer.mOutcome == answer.mOutcome);
+  CHECK(decoded->mAnswer.mRefusal == answer.mRefusal);
+  CHECK(decoded->mAnswer.mRetryAfter == answer.mRetryAfter);
+  CHECK(decoded->mAnswer.mLoad == doctest::Approx(0.75));
+  CHECK(decoded->mAnswer.mReason == "because");
   const AttemptId other(BoxName("b"), Incarnation(7), 10);
   CHECK_FALSE(DecodeHomeAnswer(http, other));
 }
 
-TEST_CASE("Fields that are missing or malformed make no attempt")
+TEST_CASE("Requests with missing or malformed fields are not decoded")
 {
   const auto http = EncodeHomeRequest(MakeRequest(), std::nullopt, kNow);
   for (const char* fields :
