--- a/packages/control/include/porttiller/control/NewsController.h
+++ b/packages/control/include/porttiller/control/NewsController.h
@@ -31,7 +31,7 @@
 
 private:
   void Tick();
-  void Tell(const ServerNews& aNews);
+  void Tell(const ServerStateUpdate& aNews);
 
   const Settings& mSettings;
   Home& mHome;
--- a/packages/control/src/NewsController.cpp
+++ b/packages/control/src/NewsController.cpp
@@ -47,7 +47,7 @@
 }
 
 void
-NewsController::Tell(const ServerNews& aNews)
+NewsController::Tell(const ServerStateUpdate& aNews)
 {
   const auto snapshot = mSnapshot();
   if (!snapshot) {
--- a/packages/entry/include/porttiller/entry/EntryView.h
+++ b/packages/entry/include/porttiller/entry/EntryView.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "porttiller/config/Snapshot.h"
-#include "porttiller/home/ServerNews.h"
+#include "porttiller/home/ServerStateUpdate.h"
 #include "porttiller/hop/HomeTypes.h"
 #include "porttiller/policy/AttemptPlan.h"
 #include "porttiller/policy/Balancer.h"
@@ -63,7 +63,7 @@
                  TimePoint aNow);
 
   // Sent by the home of a server.
-  void OnNews(const ServerNews& aNews, TimePoint aNow);
+  void OnNews(const ServerStateUpdate& aNews, TimePoint aNow);
 
   // The way to a box fails or works; never held against its servers.
   void OnPathFailure(const BoxName& aBox, TimePoint aNow);
--- a/packages/entry/src/EntryView.cpp
+++ b/packages/entry/src/EntryView.cpp
@@ -331,7 +331,7 @@
 }
 
 void
-EntryView::OnNews(const ServerNews& aNews, TimePoint aNow)
+EntryView::OnNews(const ServerStateUpdate& aNews, TimePoint aNow)
 {
   auto& shard = ShardOf(aNews.mService);
   const std::lock_guard lock(shard.mMutex);
--- a/packages/entry/tests/EntryViewTest.cpp
+++ b/packages/entry/tests/EntryViewTest.cpp
@@ -86,10 +86,10 @@
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
-  ServerNews news{ .mServer = ServerIncarnation(BackendServerName("a")),
-                   .mService = ServiceName("ledger"),
-                   .mDemoted = true,
-                   .mRetryAfter = Millis(4000) };
+  ServerStateUpdate news{ .mServer = ServerIncarnation(BackendServerName("a")),
+                          .mService = ServiceName("ledger"),
+                          .mDemoted = true,
+                          .mRetryAfter = Millis(4000) };
   view.OnNews(news, kStart);
   const auto& service = snapshot.mServices.begin()->second;
   const auto choose = [&](TimePoint aNow) {
--- a/packages/home/include/porttiller/home/Home.h
+++ b/packages/home/include/porttiller/home/Home.h
@@ -1,4 +1,4 @@
-// The home role: every request to a backend server of this box passes here.
+// The home role: forwards every request to the backend servers of this box.
 #pragma once
 
 #include "porttiller/config/Snapshot.h"
@@ -15,8 +15,8 @@
 
 namespace porttiller {
 
-// Thread-safe: the attempt record is in shards by entry box, each under its
-// own lock; each server has a lock of its own.
+// Thread-safe. The attempt records are sharded by entry box, each shard under a
+// lock of its own; so is each server.
 class Home
 {
 public:
@@ -28,22 +28,24 @@
 
   Incarnation OwnIncarnation() const { return mIncarnation; }
 
-  // Runs an attempt at most once; answers when it ended or was refused.
+  // Runs an attempt at most once. Returns when it has ended or was rejected.
   HomeAnswer Handle(const HomeRequest& aRequest);
 
-  // After this an attempt that has not begun never will.
+  // Ensures that an attempt which has not started never starts. Both return
+  // kForgotten when aNamed is not this incarnation.
   AttemptReport Revoke(const AttemptId& aAttempt, Incarnation aNamed);
   AttemptReport Query(const AttemptId& aAttempt, Incarnation aNamed) const;
 
-  // Servers of this box as configured; kept ones keep their state.
-  // A server that started again is a new one.
+  // Takes the servers of this box from the configuration. Unchanged servers
+  // keep their state; a server that was restarted is a new one.
   void Apply(const Snapshot& aSnapshot);
-  // Services of which Apply replaced or took away a server since the last call.
+  // Returns the services of which Apply replaced or removed a server since the
+  // last call.
   std::set<ServiceName> TakeReplacedServices();
-  // The whole box leaves: every new attempt is refused.
+  // Rejects every new attempt, as the whole box is leaving.
   void SetLeaving();
 
-  // This start of a server takes nothing new from now on; a later one does.
+  // Rejects new attempts at this incarnation of a server, not at later ones.
   void SetServerLeaving(const ServerIncarnation& aServer);
 
   LocalServerPtr Find(const BackendServerName& aName) const;
@@ -60,23 +62,23 @@
   };
 
   Shard& ShardOf(const AttemptId& aAttempt) const;
-  LocalServerPtr KeptOrNew(const BackendServerSpec& aSpec,
-                           const LocalServerOptions& aOptions) const;
+  LocalServerPtr ReuseOrCreate(const BackendServerSpec& aSpec,
+                               const LocalServerOptions& aOptions) const;
   HomeAnswer RunAdmitted(const HomeRequest& aRequest, Shard& aShard);
   RetryBudgetOptions BudgetOf(const ServiceEntry& aService) const;
 
   const BoxName mBox;
   const Incarnation mIncarnation;
-  const LocalServerOptions mServerOptions; // but for the detection
+  const LocalServerOptions mServerOptions; // mDetection is set per service
   const RetrySettings mRetries;
   const Cutoff& mCutoff;
   mutable std::array<Shard, kShards> mShards;
   mutable std::mutex mServersMutex;
   std::map<BackendServerName, LocalServerPtr> mServers;
-  // Servers that the last snapshot has as leaving; under mServersMutex.
+  // Servers that are leaving in the last snapshot; under mServersMutex.
   std::set<BackendServerName> mConfiguredLeaving;
-  std::set<ServiceName> mReplaced; // under mServersMutex
-  bool mLeaving = false;           // under mServersMutex
+  std::set<ServiceName> mReplacedServices; // under mServersMutex
+  bool mLeaving = false;                   // under mServersMutex
 };
 
 } // namespace porttiller
--- a/packages/home/include/porttiller/home/HomeServer.h
+++ b/packages/home/include/porttiller/home/HomeServer.h
@@ -1,4 +1,4 @@
-// The home role's HTTP server: attempts from other boxes' entries.
+// The HTTP server of the home role; takes attempts from entries on other boxes.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -17,7 +17,7 @@
     const Settings& aSettings,
     Home& aHome);
 
-  // Waits until every attempt has its answer.
+  // Stops after every attempt has been answered.
   void Stop();
 
 private:
--- a/packages/home/include/porttiller/home/LocalServer.h
+++ b/packages/home/include/porttiller/home/LocalServer.h
@@ -1,5 +1,5 @@
-// One backend server of this box as its home holds it: admission, its
-// connections, and what its answers say about it.
+// One backend server of this box: admission of requests, connections, and
+// health as shown by its answers.
 #pragma once
 
 #include "porttiller/config/EdgeHeaders.h"
@@ -8,7 +8,7 @@
 #include "porttiller/home/RecentSenders.h"
 #include "porttiller/home/ServerBreaker.h"
 #include "porttiller/home/ServerCall.h"
-#include "porttiller/home/ServerNews.h"
+#include "porttiller/home/ServerStateUpdate.h"
 #include "porttiller/hop/Cutoff.h"
 #include "porttiller/hop/HomeTypes.h"
 #include "porttiller/policy/EjectionMachine.h"
@@ -34,8 +34,8 @@
                          const LocalServerOptions&) = default;
 };
 
-// Owned by Home, shared with the requests that are in it. Thread-safe: one
-// lock for each server.
+// Owned by Home, and by requests while they run. Thread-safe: one lock for each
+// server.
 class LocalServer
 {
 public:
@@ -45,26 +45,27 @@
 
   const BackendServerSpec& Spec() const { return mSpec; }
 
-  // Waits for a slot, hands the request over, returns its whole answer. The
+  // Waits for a slot, forwards the request and returns the complete answer. The
   // attempt must have been admitted by the registry.
   HomeAnswer Run(const HomeRequest& aRequest);
 
-  // Takes an attempt that still waits for its slot out of the queue; true when
-  // it was waiting, and so will not run.
+  // Removes an attempt that waits for a slot from the queue. Returns true when
+  // it was waiting, so that it will not run.
   bool CancelWaiting(const AttemptId& aAttempt);
 
-  // What this server may be sent of requests that another one has got already.
+  // Limits the retries that this server accepts: requests that were sent to
+  // another server before.
   void SetRetryBudget(const RetryBudgetOptions& aOptions);
 
-  // From now on every new request is refused, and so are those that wait for a
-  // slot; running ones go on.
+  // While set, rejects new requests and those that wait for a slot. Running
+  // ones continue.
   void SetLeaving(bool aLeaving);
 
-  // What those who send here should know, once for each change of the breaker
-  // that lasts.
-  std::optional<ServerNews> TakeNews(TimePoint aNow);
+  // Returns an update for the boxes that send here, once for each lasting
+  // change of the breaker.
+  std::optional<ServerStateUpdate> TakeNews(TimePoint aNow);
 
-  // The ejection machine's events; see EjectionMachine.
+  // Forwarded to EjectionMachine.
   std::vector<EjectionAction> Tick(TimePoint aNow);
   void OnPeers(const std::vector<PeerHealth>& aPeers, int aOthers);
   void OnPermission(PermissionAnswer aAnswer);
@@ -74,7 +75,7 @@
   ServerPhase Phase() const;
   bool HoldsPermission() const;
   const LocalServerOptions& Options() const { return mOptions; }
-  // The server is not the one at its address any more.
+  // True once another server answers at this server's address.
   bool Replaced() const;
 
   // Running and waiting requests.
@@ -87,7 +88,7 @@
   {
     kWaiting,
     kStarted,
-    kTurnedAway, // displaced, or the server leaves or hangs
+    kRejected, // displaced, or the server is leaving or hangs
     kExpired
   };
 
@@ -96,32 +97,34 @@
     AttemptId mAttempt;
     bool mLastResort = false;
     WaitState mState = WaitState::kWaiting;
-    Refusal mRefusal = Refusal::kNone; // with kTurnedAway
+    Refusal mRefusal = Refusal::kNone; // with kRejected
     Millis mRetryAfter{ 0 };
     std::condition_variable mChanged; // of this waiter alone
   };
 
-  // Null once a slot is held; otherwise the refusal.
+  // Each returns null once a slot is held, otherwise the rejection.
   std::optional<HomeAnswer> TakeSlot(const HomeRequest& aRequest);
   std::optional<HomeAnswer> WaitForSlot(std::unique_lock<std::mutex>& aLock,
                                         Ticket aTicket,
                                         const HomeRequest& aRequest);
   std::optional<HomeAnswer> EndWait(Ticket aTicket);
-  std::optional<HomeAnswer> RefuseAside(const HomeRequest& aRequest);
-  std::optional<HomeAnswer> RefuseBroken(const HomeRequest& aRequest);
-  void NoteRefusal(HomeAnswer& aAnswer);
-  void Learn(const HomeRequest& aRequest,
-             const HomeAnswer& aAnswer,
-             Micros aTime);
+  // Each returns null when the request is admitted, otherwise the rejection.
+  std::optional<HomeAnswer> RejectIfEjected(const HomeRequest& aRequest);
+  std::optional<HomeAnswer> RejectIfBroken(const HomeRequest& aRequest);
+  void OnServerRejection(HomeAnswer& aAnswer);
+  void RecordEvidence(const HomeRequest& aRequest,
+                      const HomeAnswer& aAnswer,
+                      Micros aTime);
   void FreeSlot(std::optional<Micros> aServiceTime);
-  void Mark(Ticket aTicket, WaitState aState);
-  void TurnAway(Ticket aTicket, Refusal aRefusal, Millis aRetryAfter);
-  void TurnWaitersAway(Refusal aRefusal, Millis aRetryAfter);
-  std::optional<HomeAnswer> RefuseRepeat(const HomeRequest& aRequest) const;
-  void NoteStarted(const HomeRequest& aRequest);
-  bool EndsTooSoonFor(const HomeRequest& aRequest) const;
+  void SetWaitState(Ticket aTicket, WaitState aState);
+  void RejectWaiter(Ticket aTicket, Refusal aRefusal, Millis aRetryAfter);
+  void RejectWaiters(Refusal aRefusal, Millis aRetryAfter);
+  std::optional<HomeAnswer> RejectIfRetriesSpent(
+    const HomeRequest& aRequest) const;
+  void OnStarted(const HomeRequest& aRequest);
+  bool MayBeInterrupted(const HomeRequest& aRequest) const;
   double LoadLocked() const;
-  HomeAnswer RefuseLocked(Refusal aRefusal, Millis aRetryAfter) const;
+  HomeAnswer RejectLocked(Refusal aRefusal, Millis aRetryAfter) const;
 
   const BackendServerSpec mSpec;
   const LocalServerOptions mOptions;
@@ -134,13 +137,13 @@
   RouteTimes mRouteTimes;
   RecentSenders mSenders;
   RetryBudget mRetries;
-  bool mToldDemoted = false;
-  std::optional<TimePoint> mNewsSince; // not yet told
-  ServerBreaker mBreaker; // fed only where failing servers are broken off
+  bool mReportedDemoted = false;
+  std::optional<TimePoint> mUnreportedSince; // a change not yet reported
+  ServerBreaker mBreaker; // receives outcomes only with kBreak
   bool mReplaced = false;
   Ticket mNextTicket = 1;
   bool mLeaving = false;
-  TimePoint mServerLeavingUntil; // said by the server itself
+  TimePoint mServerLeavingUntil; // reported by the server itself
 };
 
 using LocalServerPtr = std::shared_ptr<LocalServer>;
--- a/packages/home/include/porttiller/home/RecentSenders.h
+++ b/packages/home/include/porttiller/home/RecentSenders.h
@@ -1,4 +1,4 @@
-// The boxes whose entries have lately sent requests to one backend server.
+// The boxes whose entries recently sent requests to one backend server.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -14,14 +14,14 @@
 {
 public:
   void OnRequest(const BoxName& aBox, TimePoint aNow);
-  // Those that sent within kMemory before aNow.
+  // Returns the boxes that sent a request within kMemory before aNow.
   std::vector<BoxName> Since(TimePoint aNow) const;
 
 private:
-  // A box that has sent nothing for so long is unlikely to be the next one.
+  // A box that sent nothing for this long is unlikely to send the next request.
   static constexpr Millis kMemory{ 10'000 };
-  // At the target a server gets 17 requests a second from 1,300 boxes, most of
-  // them of its own zone's 48.
+  // At the target size a server gets 17 requests/s from a fleet of 1,300 boxes,
+  // mostly from the 48 boxes of its own zone.
   static constexpr std::size_t kMaxBoxes = 64;
 
   void DropOldest();
--- a/packages/home/include/porttiller/home/ServerBreaker.h
+++ b/packages/home/include/porttiller/home/ServerBreaker.h
@@ -1,5 +1,5 @@
-// The circuit breaker of one backend server of this box, fed with what its
-// answers and its silence say.
+// The circuit breaker of one backend server of this box. Its input is the
+// server's answers and the requests that remain unanswered.
 #pragma once
 
 #include "porttiller/core/ServerIncarnation.h"
@@ -16,19 +16,20 @@
 class ServerBreaker
 {
 public:
-  // aTimes: of the server's answers; kept by its owner.
+  // aTimes are the latencies of the server; they must outlive the breaker.
   ServerBreaker(ServerIncarnation aServer, const RouteTimes& aTimes);
 
-  // Whether the request may be sent to the server now. aTrialPaid: the service
-  // bears the retry that a trial may need.
-  bool Admit(const HomeRequest& aRequest, bool aTrialPaid, TimePoint aNow);
-  // Whether it turns away what must not fail.
-  bool Demotes(TimePoint aNow);
-  // When a request that was not admitted may come back.
+  // Whether the request may be sent to the server now. aRetryAvailable: the
+  // retry budget holds the retry that a trial may need.
+  bool Admit(const HomeRequest& aRequest, bool aRetryAvailable, TimePoint aNow);
+  // True while the breaker is not closed: only trials and last-resort requests
+  // are admitted.
+  bool IsDemoted(TimePoint aNow);
+  // How long to wait before a rejected request is tried here again.
   Millis RetryAfter(TimePoint aNow) const;
 
   void OnStarted(const HomeRequest& aRequest, TimePoint aNow);
-  // Of every attempt that was started; aTime is how long it ran.
+  // Must be called for every started attempt. aTime is how long it ran.
   void OnEnded(const HomeRequest& aRequest,
                const HomeAnswer& aAnswer,
                Micros aTime,
@@ -36,14 +37,15 @@
   std::string Dump() const { return mBreaker.Dump(); }
 
 private:
-  void NoteSilence(const HomeRequest& aRequest,
-                   const HomeAnswer& aAnswer,
-                   TimePoint aNow);
-  bool Feed(const HomeRequest& aRequest,
-            const HomeAnswer& aAnswer,
-            Micros aTime,
-            TimePoint aNow);
-  void JudgeSilence(TimePoint aNow);
+  void UpdateSilence(const HomeRequest& aRequest,
+                     const HomeAnswer& aAnswer,
+                     TimePoint aNow);
+  // Returns true when the breaker's state changed.
+  bool UpdateBreaker(const HomeRequest& aRequest,
+                     const HomeAnswer& aAnswer,
+                     Micros aTime,
+                     TimePoint aNow);
+  void CheckSilence(TimePoint aNow);
   SurvivalOf Survival() const;
   void LogChange(const char* aKey,
                  const std::string& aCause, // a request, or "silence"
@@ -54,8 +56,8 @@
   const RouteTimes& mTimes;
   CircuitBreaker mBreaker;
   SilenceDetector mSilence;
-  double mUsualErrors = 0.0; // of the service, as entries tell
-  bool mBySilence = false;   // why the breaker is half open
+  double mUsualErrors = 0.0; // running mean of the service's rate, from entries
+  bool mOpenedBySilence = false; // whether silence opened the breaker
 };
 
 } // namespace porttiller
--- a/packages/home/include/porttiller/home/ServerCall.h
+++ b/packages/home/include/porttiller/home/ServerCall.h
@@ -1,5 +1,5 @@
-// Hands requests to one backend server over kept connections, and says what
-// each of its answers is worth.
+// Sends requests to one backend server over pooled connections and derives the
+// outcome of each attempt from the answer.
 #pragma once
 
 #include "porttiller/config/EdgeHeaders.h"
@@ -18,15 +18,16 @@
              const EdgeHeaders& aNames,
              const Cutoff& aCutoff);
 
-  // kNotRun only when the server got nothing, or says itself that it did not
-  // run the request: kNoServer from another server at its address.
+  // Returns kNotRun only when nothing was sent, or when the server reports that
+  // it did not run the request. The refusal is kNoServer when another server
+  // answers at the address.
   HomeAnswer Run(const HomeRequest& aRequest);
 
 private:
   HttpRequestData MakeRequest(const HomeRequest& aRequest) const;
-  HomeAnswer Judge(const HomeRequest& aRequest, HttpAnswer aHttp);
-  bool SaysNotRun(const HttpAnswer& aHttp) const;
-  static HomeAnswer RefusedByServer(const HttpAnswer& aHttp);
+  HomeAnswer ToHomeAnswer(const HomeRequest& aRequest, HttpAnswer aHttp);
+  bool ReportsNotRun(const HttpAnswer& aHttp) const;
+  static HomeAnswer RejectionOf(const HttpAnswer& aHttp);
 
   const BackendServerName mServer;
   const EdgeHeaders mNames;
--- a/packages/home/include/porttiller/home/ServerNews.h
+++ b/packages/home/include/porttiller/home/ServerStateUpdate.h
@@ -1,5 +1,5 @@
-// A change of a backend server's breaker, which its home sends to the boxes
-// that sent requests there, so that they need not find out by requests.
+// A change of a backend server's breaker. Its home sends it to the boxes that
+// recently sent requests there, so that they need not learn it by a rejection.
 #pragma once
 
 #include "porttiller/core/ServerIncarnation.h"
@@ -9,11 +9,11 @@
 
 namespace porttiller {
 
-struct ServerNews
+struct ServerStateUpdate
 {
   ServerIncarnation mServer;
   ServiceName mService;
-  bool mDemoted = false; // it turns away what must not fail
+  bool mDemoted = false; // the breaker is not closed
   Millis mRetryAfter{ 0 };
   std::vector<BoxName> mReceivers;
 };
--- a/packages/home/src/Home.cpp
+++ b/packages/home/src/Home.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr Millis kNotHereRetryAfter{ 100 };
+constexpr Millis kNoServerRetryAfter{ 100 };
 constexpr Millis kDuplicateRetryAfter{ 1000 };
 constexpr double kPercent = 100.0;
 
-// Whether a server keeps its state: leaving changes nothing else, and a later
-// start is another server.
+// Whether a server keeps its state. The leaving flag may differ; any other
+// difference, such as a later start, makes it another server.
 bool
 SameServer(const BackendServerSpec& aHeld, const BackendServerSpec& aNew)
 {
@@ -23,17 +23,17 @@
 }
 
 HomeAnswer
-Refuse(Refusal aRefusal, Millis aRetryAfter)
+Reject(Refusal aRefusal, Millis aRetryAfter)
 {
   return { .mOutcome = Outcome::kNotRun,
            .mRefusal = aRefusal,
            .mRetryAfter = aRetryAfter };
 }
 
-// The same attempt again: it must not run, and what became of the first
-// arrival is not known here.
+// Rejects an attempt that was, or may have been, admitted before. It must not
+// run again, and the outcome of the first arrival is unknown here.
 HomeAnswer
-RefuseAgain(Refusal aRefusal)
+RejectDuplicate(Refusal aRefusal)
 {
   return { .mOutcome = Outcome::kUnknown,
            .mRefusal = aRefusal,
@@ -81,7 +81,7 @@
 Home::Handle(const HomeRequest& aRequest)
 {
   if (aRequest.mHomeIncarnation != mIncarnation) {
-    return Refuse(Refusal::kIncarnation, Millis(0));
+    return Reject(Refusal::kIncarnation, Millis(0));
   }
   auto& shard = ShardOf(aRequest.mAttempt);
   AdmitVerdict verdict{};
@@ -93,13 +93,13 @@
     case AdmitVerdict::kAdmitted:
       return RunAdmitted(aRequest, shard);
     case AdmitVerdict::kRevoked:
-      return Refuse(Refusal::kRevoked, Millis(0));
+      return Reject(Refusal::kRevoked, Millis(0));
     case AdmitVerdict::kDuplicate:
-      return RefuseAgain(Refusal::kDuplicate);
+      return RejectDuplicate(Refusal::kDuplicate);
     case AdmitVerdict::kStale:
       break;
   }
-  return RefuseAgain(Refusal::kStale);
+  return RejectDuplicate(Refusal::kStale);
 }
 
 HomeAnswer
@@ -108,9 +108,9 @@
   const auto server = Find(aRequest.mServer);
   HomeAnswer answer;
   if (aRequest.mDeadline <= Now() || IsCancelled(aRequest)) {
-    answer = Refuse(Refusal::kExpired, Millis(0));
+    answer = Reject(Refusal::kExpired, Millis(0));
   } else if (!server) {
-    answer = Refuse(Refusal::kNoServer, kNotHereRetryAfter);
+    answer = Reject(Refusal::kNoServer, kNoServerRetryAfter);
   } else {
     answer = server->Run(aRequest);
   }
@@ -186,11 +186,11 @@
       }
       auto options = mServerOptions;
       options.mDetection = service.mSpec.mDetection;
-      const auto server = KeptOrNew(spec, options);
+      const auto server = ReuseOrCreate(spec, options);
       kept[spec.mName] = server;
       server->SetRetryBudget(BudgetOf(service));
       if (mLeaving || spec.mLeaving) {
-        server->SetLeaving(true); // never taken back
+        server->SetLeaving(true); // never reset on this object
       }
       if (spec.mLeaving) {
         leaving.insert(spec.mName);
@@ -201,19 +201,19 @@
     const auto it = kept.find(name);
     if (it == kept.end() || it->second != server) {
       server->SetLeaving(true);
-      mReplaced.insert(server->Spec().mService);
+      mReplacedServices.insert(server->Spec().mService);
     }
   }
   mServers.swap(kept);
   mConfiguredLeaving.swap(leaving);
 }
 
-// Under mServersMutex. A snapshot may be older than a leave message that came
-// directly, so a server that leaves stays so unless a snapshot had it as
-// leaving and a later one has not.
+// Called under mServersMutex. A snapshot may be older than a leave message from
+// the server, so a leaving server stays leaving, unless one snapshot marks it
+// as leaving and the next one does not.
 LocalServerPtr
-Home::KeptOrNew(const BackendServerSpec& aSpec,
-                const LocalServerOptions& aOptions) const
+Home::ReuseOrCreate(const BackendServerSpec& aSpec,
+                    const LocalServerOptions& aOptions) const
 {
   const auto it = mServers.find(aSpec.mName);
   const bool returned =
@@ -229,7 +229,7 @@
 Home::TakeReplacedServices()
 {
   const std::lock_guard lock(mServersMutex);
-  return std::exchange(mReplaced, {});
+  return std::exchange(mReplacedServices, {});
 }
 
 void
--- a/packages/home/src/HomeServer.cpp
+++ b/packages/home/src/HomeServer.cpp
@@ -11,10 +11,11 @@
 constexpr int kBadRequest = 400;
 constexpr int kUnavailable = 503;
 constexpr int kTimeout = 504;
-// Longer than an entry keeps its idle connections, so that the entry closes
-// first and never writes into a closing one.
-constexpr Millis kPeerKeepAlive{ 30'000 };
-// Entries have checked callers' limits; these only bound what a box takes in.
+// Longer than the idle timeout of entries, so that the entry closes an idle
+// connection first and never sends on one that the home is closing.
+constexpr Millis kEntryIdleClose{ 30'000 };
+// Entries enforce the limits for callers; these bound the memory of a request
+// from another box.
 constexpr std::size_t kMaxHeaders = 1000;
 constexpr std::size_t kMaxHeaderBytes = 1 << 20;
 constexpr std::size_t kMaxBodyBytes = 64 << 20;
@@ -52,7 +53,7 @@
       .mLimits = { .mMaxHeaders = kMaxHeaders,
                    .mMaxHeaderBytes = kMaxHeaderBytes,
                    .mMaxBodyBytes = kMaxBodyBytes },
-      .mIdleClose = kPeerKeepAlive,
+      .mIdleClose = kEntryIdleClose,
       .mOnException = LogException },
     [raw = server.get()](HttpCall& aCall) { return raw->Serve(aCall); });
   if (!listener) {
@@ -67,7 +68,8 @@
 {
   auto request = DecodeHomeRequest(std::move(aCall.mHttp), aCall.mArrival);
   if (!request) {
-    return { .mAnswer = { .mStatus = kBadRequest, .mBody = "not an attempt\n" },
+    return { .mAnswer = { .mStatus = kBadRequest,
+                          .mBody = "missing or malformed attempt header\n" },
              .mClose = true };
   }
   if (!mNames.mRequestId.empty()) {
--- a/packages/home/src/LocalServer.cpp
+++ b/packages/home/src/LocalServer.cpp
@@ -11,13 +11,16 @@
 namespace {
 
 constexpr Millis kLeavingRetryAfter{ 1000 };
-constexpr Millis kNoRetriesAfter{ 500 };
+constexpr Millis kNoRetriesRetryAfter{ 500 };
 constexpr int kServerErrors = 500;
-// Four in five alarms for silence end within 0.3 s with the suspected answer,
-// half of them within 84 ms; meanwhile the home refuses what comes.
-constexpr Millis kNewsLasts{ 150 };
-// A time-out says something of the server only if it had this long.
-constexpr Millis kTellingTimeout{ 500 };
+// How long a change of the breaker must last before it is reported. Four in
+// five silence alarms end within 0.3 s, half of them within 84 ms, when the
+// missing answer arrives; until the report the home itself rejects requests.
+constexpr Millis kMinReportedDuration{ 150 };
+// A timeout counts against the server if the request ran for this long, or if
+// the detector finds its time slow.
+constexpr Millis kMinTimeoutEvidence{ 500 };
+
 EjectionOptions
 OptionsFor(DetectionSetting aSetting)
 {
@@ -25,11 +28,12 @@
                                              : CarefulEjection();
 }
 
-// Times of the users' requests, and no start for those that cannot end in time.
+// With the breaker, the initial service time is that of typical requests, and
+// requests that cannot end before their deadline are not started.
 SlotQueueOptions
-QueueOptionsFor(const BackendServerSpec& aSpec, FailingServers aWay)
+QueueOptionsFor(const BackendServerSpec& aSpec, FailingServers aFailingServers)
 {
-  if (aWay == FailingServers::kEject) {
+  if (aFailingServers == FailingServers::kEject) {
     return { .mSlots = aSpec.mSlots };
   }
   return { .mSlots = aSpec.mSlots,
@@ -81,33 +85,33 @@
   const std::lock_guard lock(mMutex);
   mLeaving = aLeaving;
   if (mLeaving) {
-    TurnWaitersAway(Refusal::kLeaving, kLeavingRetryAfter);
+    RejectWaiters(Refusal::kLeaving, kLeavingRetryAfter);
   }
 }
 
-// A waiting request would reach a leaving server seconds after its box promised
-// that none will, and the slots of one that hangs get free only by time-outs.
-// Another server may still take it.
+// A leaving server must not receive requests seconds after its box announced
+// that it sends no more, and a server that hangs frees slots only by timeouts.
+// Another server may still accept the rejected requests.
 void
-LocalServer::TurnWaitersAway(Refusal aRefusal, Millis aRetryAfter)
+LocalServer::RejectWaiters(Refusal aRefusal, Millis aRetryAfter)
 {
   for (const auto& [ticket, waiter] : mWaiters) {
     const bool stays = aRefusal == Refusal::kDemoted && waiter.mLastResort;
     if (!stays && waiter.mState == WaitState::kWaiting &&
         mQueue.Cancel(ticket)) {
-      TurnAway(ticket, aRefusal, aRetryAfter);
+      RejectWaiter(ticket, aRefusal, aRetryAfter);
     }
   }
 }
 
-// One that the queue holds no more.
+// The waiter must have been removed from the queue before.
 void
-LocalServer::TurnAway(Ticket aTicket, Refusal aRefusal, Millis aRetryAfter)
+LocalServer::RejectWaiter(Ticket aTicket, Refusal aRefusal, Millis aRetryAfter)
 {
   auto& waiter = mWaiters[aTicket];
   waiter.mRefusal = aRefusal;
   waiter.mRetryAfter = aRetryAfter;
-  Mark(aTicket, WaitState::kTurnedAway);
+  SetWaitState(aTicket, WaitState::kRejected);
 }
 
 std::string
@@ -119,7 +123,7 @@
 }
 
 HomeAnswer
-LocalServer::RefuseLocked(Refusal aRefusal, Millis aRetryAfter) const
+LocalServer::RejectLocked(Refusal aRefusal, Millis aRetryAfter) const
 {
   return { .mOutcome = Outcome::kNotRun,
            .mRefusal = aRefusal,
@@ -130,16 +134,16 @@
 HomeAnswer
 LocalServer::Run(const HomeRequest& aRequest)
 {
-  if (auto refused = TakeSlot(aRequest)) {
-    return *refused;
+  if (auto rejected = TakeSlot(aRequest)) {
+    return *rejected;
   }
   const auto start = Now();
   auto answer = mCall.Run(aRequest);
   const auto time = Now() - start;
   if (answer.mOutcome == Outcome::kNotRun) {
-    NoteRefusal(answer);
+    OnServerRejection(answer);
   }
-  Learn(aRequest, answer, time);
+  RecordEvidence(aRequest, answer, time);
   const bool ran = answer.mOutcome != Outcome::kNotRun;
   FreeSlot(ran ? std::optional<Micros>(time) : std::nullopt);
   const std::lock_guard lock(mMutex);
@@ -148,9 +152,9 @@
   return answer;
 }
 
-// What the server's own refusal says of the next requests.
+// Applies the server's own rejection to later requests.
 void
-LocalServer::NoteRefusal(HomeAnswer& aAnswer)
+LocalServer::OnServerRejection(HomeAnswer& aAnswer)
 {
   const std::lock_guard lock(mMutex);
   switch (aAnswer.mRefusal) {
@@ -171,12 +175,13 @@
   }
 }
 
-// What an answer says of the server. Nothing is said by connections that are
-// all in use, or by a caller that gave it no time.
+// Records what the result of an attempt shows about the server's health. A full
+// connection pool, a server that is busy or leaving, a cancelled request, and a
+// deadline that left too little time show nothing.
 void
-LocalServer::Learn(const HomeRequest& aRequest,
-                   const HomeAnswer& aAnswer,
-                   Micros aTime)
+LocalServer::RecordEvidence(const HomeRequest& aRequest,
+                            const HomeAnswer& aAnswer,
+                            Micros aTime)
 {
   const std::lock_guard lock(mMutex);
   const bool answered =
@@ -194,9 +199,9 @@
   if (aAnswer.mOutcome == Outcome::kRun) {
     evidence.mFailed = aAnswer.mHttp.mStatus >= kServerErrors;
   } else if (aAnswer.mReason == kTimeoutReason) {
-    const bool telling =
-      mMachine.Evidences().IsSlow(aTime) || aTime >= Micros(kTellingTimeout);
-    if (!telling) {
+    const bool conclusive = mMachine.Evidences().IsSlow(aTime) ||
+                            aTime >= Micros(kMinTimeoutEvidence);
+    if (!conclusive) {
       return;
     }
     evidence.mFailed = true;
@@ -276,29 +281,29 @@
   return mMachine.HoldsPermission();
 }
 
-std::optional<ServerNews>
+std::optional<ServerStateUpdate>
 LocalServer::TakeNews(TimePoint aNow)
 {
   const std::lock_guard lock(mMutex);
-  const bool demoted = mBreaker.Demotes(aNow);
-  if (demoted == mToldDemoted) {
-    mNewsSince.reset();
+  const bool demoted = mBreaker.IsDemoted(aNow);
+  if (demoted == mReportedDemoted) {
+    mUnreportedSince.reset();
     return std::nullopt;
   }
-  mNewsSince = mNewsSince.value_or(aNow);
-  if (aNow < *mNewsSince + kNewsLasts) {
+  mUnreportedSince = mUnreportedSince.value_or(aNow);
+  if (aNow < *mUnreportedSince + kMinReportedDuration) {
     return std::nullopt;
   }
-  mNewsSince.reset();
-  mToldDemoted = demoted;
+  mUnreportedSince.reset();
+  mReportedDemoted = demoted;
   if (demoted) {
-    TurnWaitersAway(Refusal::kDemoted, mBreaker.RetryAfter(aNow));
+    RejectWaiters(Refusal::kDemoted, mBreaker.RetryAfter(aNow));
   }
-  return ServerNews{ .mServer = mSpec.Incarnation(),
-                     .mService = mSpec.mService,
-                     .mDemoted = demoted,
-                     .mRetryAfter = mBreaker.RetryAfter(aNow),
-                     .mReceivers = mSenders.Since(aNow) };
+  return ServerStateUpdate{ .mServer = mSpec.Incarnation(),
+                            .mService = mSpec.mService,
+                            .mDemoted = demoted,
+                            .mRetryAfter = mBreaker.RetryAfter(aNow),
+                            .mReceivers = mSenders.Since(aNow) };
 }
 
 std::optional<HomeAnswer>
@@ -307,45 +312,45 @@
   std::unique_lock lock(mMutex);
   mSenders.OnRequest(aRequest.mAttempt.Box(), Now());
   if (mLeaving || Now() < mServerLeavingUntil) {
-    return RefuseLocked(Refusal::kLeaving, kLeavingRetryAfter);
+    return RejectLocked(Refusal::kLeaving, kLeavingRetryAfter);
   }
   if (mReplaced) {
-    return RefuseLocked(Refusal::kNoServer, kLeavingRetryAfter);
+    return RejectLocked(Refusal::kNoServer, kLeavingRetryAfter);
   }
-  auto aside = mOptions.mFailingServers == FailingServers::kBreak
-                 ? RefuseBroken(aRequest)
-                 : RefuseAside(aRequest);
-  if (!aside) {
-    aside = RefuseRepeat(aRequest);
+  auto rejected = mOptions.mFailingServers == FailingServers::kBreak
+                    ? RejectIfBroken(aRequest)
+                    : RejectIfEjected(aRequest);
+  if (!rejected) {
+    rejected = RejectIfRetriesSpent(aRequest);
   }
-  if (aside) {
-    return aside;
+  if (rejected) {
+    return rejected;
   }
   const auto ticket = mNextTicket++;
   const auto offer =
     mQueue.Offer(ticket, aRequest.mPriority, aRequest.mDeadline, Now());
   if (offer.mDisplaced) {
-    TurnAway(*offer.mDisplaced, Refusal::kOverloaded, offer.mRetryAfter);
+    RejectWaiter(*offer.mDisplaced, Refusal::kOverloaded, offer.mRetryAfter);
   }
   if (offer.mVerdict == OfferVerdict::kShed) {
-    return RefuseLocked(Refusal::kOverloaded, offer.mRetryAfter);
+    return RejectLocked(Refusal::kOverloaded, offer.mRetryAfter);
   }
   if (offer.mVerdict == OfferVerdict::kStart) {
-    NoteStarted(aRequest);
+    OnStarted(aRequest);
     return std::nullopt;
   }
   auto& waiter = mWaiters[ticket];
   waiter.mAttempt = aRequest.mAttempt;
   waiter.mLastResort = aRequest.mLastResort;
-  auto refused = WaitForSlot(lock, ticket, aRequest);
-  if (!refused) {
-    NoteStarted(aRequest);
+  auto notStarted = WaitForSlot(lock, ticket, aRequest);
+  if (!notStarted) {
+    OnStarted(aRequest);
   }
-  return refused;
+  return notStarted;
 }
 
 void
-LocalServer::NoteStarted(const HomeRequest& aRequest)
+LocalServer::OnStarted(const HomeRequest& aRequest)
 {
   mBreaker.OnStarted(aRequest, Now());
   if (aRequest.mRepeat) {
@@ -356,12 +361,12 @@
 }
 
 std::optional<HomeAnswer>
-LocalServer::RefuseRepeat(const HomeRequest& aRequest) const
+LocalServer::RejectIfRetriesSpent(const HomeRequest& aRequest) const
 {
   if (!aRequest.mRepeat || mRetries.Affords(1)) {
     return std::nullopt;
   }
-  return RefuseLocked(Refusal::kNoRetries, kNoRetriesAfter);
+  return RejectLocked(Refusal::kNoRetries, kNoRetriesRetryAfter);
 }
 
 void
@@ -372,42 +377,43 @@
 }
 
 std::optional<HomeAnswer>
-LocalServer::RefuseBroken(const HomeRequest& aRequest)
+LocalServer::RejectIfBroken(const HomeRequest& aRequest)
 {
   const auto now = Now();
-  if (EndsTooSoonFor(aRequest)) {
-    return RefuseLocked(Refusal::kDemoted, kLeavingRetryAfter);
+  if (MayBeInterrupted(aRequest)) {
+    return RejectLocked(Refusal::kDemoted, kLeavingRetryAfter);
   }
-  // A trial most likely needs a retry elsewhere.
-  const bool trialPaid = mRetries.Affords(1);
-  if (mBreaker.Admit(aRequest, trialPaid, now)) {
+  // A trial is likely to fail and to need a retry at another server.
+  const bool retryAvailable = mRetries.Affords(1);
+  if (mBreaker.Admit(aRequest, retryAvailable, now)) {
     return std::nullopt;
   }
-  return RefuseLocked(Refusal::kDemoted, mBreaker.RetryAfter(now));
+  return RejectLocked(Refusal::kDemoted, mBreaker.RetryAfter(now));
 }
 
-// A box that is stopped may have to break off what hangs at its server. What
-// may run only once goes elsewhere, unless no other server would take it.
+// A planned stop aborts requests that still run at its deadline. A request that
+// is not repeatable is rejected so that it runs elsewhere, unless no other
+// server accepts it.
 bool
-LocalServer::EndsTooSoonFor(const HomeRequest& aRequest) const
+LocalServer::MayBeInterrupted(const HomeRequest& aRequest) const
 {
   return !aRequest.mRepeatable && !aRequest.mLastResort &&
          mCutoff.Limit(aRequest.mDeadline) < aRequest.mDeadline;
 }
 
 std::optional<HomeAnswer>
-LocalServer::RefuseAside(const HomeRequest& aRequest)
+LocalServer::RejectIfEjected(const HomeRequest& aRequest)
 {
   const auto now = Now();
   switch (mMachine.Gate(aRequest.mRepeatable, aRequest.mLastResort, now)) {
     case GateVerdict::kAdmit:
       return std::nullopt;
     case GateVerdict::kDemoted:
-      return RefuseLocked(Refusal::kDemoted, mMachine.RetryAfter(now));
+      return RejectLocked(Refusal::kDemoted, mMachine.RetryAfter(now));
     case GateVerdict::kEjected:
       break;
   }
-  return RefuseLocked(Refusal::kEjected, mMachine.RetryAfter(now));
+  return RejectLocked(Refusal::kEjected, mMachine.RetryAfter(now));
 }
 
 std::optional<HomeAnswer>
@@ -417,9 +423,9 @@
 {
   auto& waiter = mWaiters[aTicket];
   {
-    // The watch comes and goes without the lock: its listener takes it.
+    // The listener locks mMutex, so it is added and removed without the lock.
     aLock.unlock();
-    const auto watch = OnCancel(CancellationOf(aRequest), [this, &waiter] {
+    const auto listener = OnCancel(CancellationOf(aRequest), [this, &waiter] {
       const std::lock_guard lock(mMutex);
       waiter.mChanged.notify_all();
     });
@@ -439,7 +445,7 @@
   return EndWait(aTicket);
 }
 
-// What became of a wait; null once a slot is held.
+// Removes the waiter and returns its rejection; null once a slot is held.
 std::optional<HomeAnswer>
 LocalServer::EndWait(Ticket aTicket)
 {
@@ -451,19 +457,19 @@
   switch (state) {
     case WaitState::kStarted:
       return std::nullopt;
-    case WaitState::kTurnedAway:
-      return RefuseLocked(refusal, retryAfter);
+    case WaitState::kRejected:
+      return RejectLocked(refusal, retryAfter);
     case WaitState::kWaiting:
       mQueue.Cancel(aTicket);
       break;
     case WaitState::kExpired:
       break;
   }
-  return RefuseLocked(Refusal::kExpired, mQueue.ExpectedWait());
+  return RejectLocked(Refusal::kExpired, mQueue.ExpectedWait());
 }
 
 void
-LocalServer::Mark(Ticket aTicket, WaitState aState)
+LocalServer::SetWaitState(Ticket aTicket, WaitState aState)
 {
   const auto it = mWaiters.find(aTicket);
   if (it != mWaiters.end()) {
@@ -478,10 +484,10 @@
   const std::lock_guard lock(mMutex);
   const auto freed = mQueue.Release(aServiceTime, Now());
   for (const auto ticket : freed.mStart) {
-    Mark(ticket, WaitState::kStarted);
+    SetWaitState(ticket, WaitState::kStarted);
   }
   for (const auto ticket : freed.mExpired) {
-    Mark(ticket, WaitState::kExpired);
+    SetWaitState(ticket, WaitState::kExpired);
   }
 }
 
@@ -491,7 +497,7 @@
   const std::lock_guard lock(mMutex);
   for (const auto& [ticket, waiter] : mWaiters) {
     if (waiter.mAttempt == aAttempt && mQueue.Cancel(ticket)) {
-      Mark(ticket, WaitState::kExpired);
+      SetWaitState(ticket, WaitState::kExpired);
       return true;
     }
   }
--- a/packages/home/src/ServerBreaker.cpp
+++ b/packages/home/src/ServerBreaker.cpp
@@ -9,26 +9,29 @@
 namespace {
 
 constexpr int kServerErrors = 500;
-// A trial that was given up tells that the server still hangs only if so few
-// requests would have taken longer.
-constexpr double kTellingSurvival = 0.3;
-// Of the newest request's entry in the service's usual share of errors.
-constexpr double kEntryWeight = 0.1;
-// Entries keep away from an open breaker for so long before they ask again.
-// They are told when it closes; this is for those that miss the news.
-constexpr Millis kRetryAfter{ 4000 };
-
+// An abandoned trial shows that the server still hangs only if a smaller share
+// of the route's requests takes longer than the trial ran.
+constexpr double kMaxHangingSurvival = 0.3;
+// Weight of the newest request in the running mean of the service's error rate.
+constexpr double kErrorRateWeight = 0.1;
+// Entries avoid an open breaker for at least this long before they send another
+// request. They are notified when it closes; this is for those that miss the
+// notification.
+constexpr Millis kMinRetryAfter{ 4000 };
+
+// These rejections do not show whether the server is healthy.
 bool
-SaysNothing(const HomeAnswer& aAnswer)
+IsInconclusive(const HomeAnswer& aAnswer)
 {
   return aAnswer.mRefusal == Refusal::kServerBusy ||
          aAnswer.mRefusal == Refusal::kOverloaded ||
          aAnswer.mRefusal == Refusal::kLeaving;
 }
 
-// Nobody waits any more: its time is up, or its caller or entry has gone.
+// True when nobody waits for the answer any more: the request timed out, or its
+// caller or entry disconnected.
 bool
-WasGivenUp(const HomeRequest& aRequest, const HomeAnswer& aAnswer)
+WasAbandoned(const HomeRequest& aRequest, const HomeAnswer& aAnswer)
 {
   return aAnswer.mOutcome == Outcome::kUnknown &&
          (aAnswer.mReason == kTimeoutReason || IsCancelled(aRequest));
@@ -45,32 +48,32 @@
 
 bool
 ServerBreaker::Admit(const HomeRequest& aRequest,
-                     bool aTrialPaid,
+                     bool aRetryAvailable,
                      TimePoint aNow)
 {
-  JudgeSilence(aNow);
+  CheckSilence(aNow);
   return mBreaker.Admit(
-    aRequest.mMayFail && aTrialPaid, aRequest.mLastResort, aNow);
+    aRequest.mMayFail && aRetryAvailable, aRequest.mLastResort, aNow);
 }
 
 bool
-ServerBreaker::Demotes(TimePoint aNow)
+ServerBreaker::IsDemoted(TimePoint aNow)
 {
-  JudgeSilence(aNow);
+  CheckSilence(aNow);
   return mBreaker.State() != BreakerState::kClosed;
 }
 
 Millis
 ServerBreaker::RetryAfter(TimePoint aNow) const
 {
-  return std::max(mBreaker.RetryAfter(aNow), kRetryAfter);
+  return std::max(mBreaker.RetryAfter(aNow), kMinRetryAfter);
 }
 
 void
 ServerBreaker::OnStarted(const HomeRequest& aRequest, TimePoint aNow)
 {
   mSilence.OnStarted(aRequest.mAttempt, aRequest.mRoute, aNow);
-  mUsualErrors += kEntryWeight * (aRequest.mUsualErrors - mUsualErrors);
+  mUsualErrors += kErrorRateWeight * (aRequest.mUsualErrors - mUsualErrors);
 }
 
 void
@@ -86,8 +89,9 @@
     .With("reason", aAnswer.mReason)
     .With("trial", mBreaker.State() == BreakerState::kHalfOpen ? "yes" : "no")
     .With("time_ms", std::chrono::duration_cast<Millis>(aTime).count());
-  NoteSilence(aRequest, aAnswer, aNow);
-  if (!SaysNothing(aAnswer) && Feed(aRequest, aAnswer, aTime, aNow)) {
+  UpdateSilence(aRequest, aAnswer, aNow);
+  if (!IsInconclusive(aAnswer) &&
+      UpdateBreaker(aRequest, aAnswer, aTime, aNow)) {
     LogChange("request",
               aRequest.mRequestId,
               aAnswer.mOutcome == Outcome::kRun
@@ -95,38 +99,37 @@
                 : aAnswer.mReason,
               aNow);
   }
-  JudgeSilence(aNow);
+  CheckSilence(aNow);
 }
 
 void
-ServerBreaker::NoteSilence(const HomeRequest& aRequest,
-                           const HomeAnswer& aAnswer,
-                           TimePoint aNow)
+ServerBreaker::UpdateSilence(const HomeRequest& aRequest,
+                             const HomeAnswer& aAnswer,
+                             TimePoint aNow)
 {
   if (aAnswer.mOutcome == Outcome::kRun) {
     mSilence.OnAnswered(aRequest.mAttempt);
-  } else if (WasGivenUp(aRequest, aAnswer)) {
+  } else if (WasAbandoned(aRequest, aAnswer)) {
     mSilence.OnGivenUp(aRequest.mAttempt, aNow);
   } else {
     mSilence.Forget(aRequest.mAttempt);
   }
 }
 
-// True when the breaker's state changed.
 bool
-ServerBreaker::Feed(const HomeRequest& aRequest,
-                    const HomeAnswer& aAnswer,
-                    Micros aTime,
-                    TimePoint aNow)
+ServerBreaker::UpdateBreaker(const HomeRequest& aRequest,
+                             const HomeAnswer& aAnswer,
+                             Micros aTime,
+                             TimePoint aNow)
 {
-  if (WasGivenUp(aRequest, aAnswer)) {
+  if (WasAbandoned(aRequest, aAnswer)) {
     const bool trial = mBreaker.State() == BreakerState::kHalfOpen;
-    const bool telling =
-      mTimes.Survival(aRequest.mRoute, aTime) < kTellingSurvival;
-    return trial && telling && mBreaker.OnFailure(aNow);
+    const bool conclusive =
+      mTimes.Survival(aRequest.mRoute, aTime) < kMaxHangingSurvival;
+    return trial && conclusive && mBreaker.OnFailure(aNow);
   }
   if (aAnswer.mOutcome != Outcome::kRun) {
-    mBySilence = false;
+    mOpenedBySilence = false;
     return mBreaker.OnFailure(aNow);
   }
   if (aAnswer.mHttp.mStatus >= kServerErrors) {
@@ -134,24 +137,24 @@
   }
   const bool closed = mBreaker.OnSuccess(aNow - aTime);
   if (closed) {
-    mBySilence = false;
+    mOpenedBySilence = false;
     mSilence.Reset();
   }
   return closed;
 }
 
-// Requests without an answer tell of their server before their deadlines do,
-// and their answers end the suspicion.
+// Detects a server that hangs before its requests time out. Closes the breaker
+// again when their answers arrive.
 void
-ServerBreaker::JudgeSilence(TimePoint aNow)
+ServerBreaker::CheckSilence(TimePoint aNow)
 {
   const bool alarm = mSilence.Alarms(Survival(), aNow);
   if (alarm && mBreaker.State() == BreakerState::kClosed) {
-    mBySilence = true;
+    mOpenedBySilence = true;
     mBreaker.OnFailure(aNow);
-    LogChange("cause", "silence", "no answer for long", aNow);
-  } else if (!alarm && mBySilence) {
-    mBySilence = false;
+    LogChange("cause", "silence", "requests unanswered for too long", aNow);
+  } else if (!alarm && mOpenedBySilence) {
+    mOpenedBySilence = false;
     mBreaker.Close();
     LogChange("cause", "silence", "answered", aNow);
   }
--- a/packages/home/src/ServerCall.cpp
+++ b/packages/home/src/ServerCall.cpp
@@ -9,13 +9,16 @@
 namespace {
 
 constexpr Millis kRetryAfter{ 1000 };
-constexpr Millis kLinger{ 5000 };
-// A backend server closes idle connections after some ten seconds; ours go
-// first, as a request must not meet a close.
+// How long after its deadline the answer of a request is awaited whose caller
+// may query the outcome later.
+constexpr Millis kLateAnswerWait{ 5000 };
+// Backend servers close idle connections after about 10 s. The pool closes them
+// earlier, so that no request is sent on a connection that is being closed.
 constexpr Millis kIdleClose{ 7000 };
-constexpr int kMisdirected = 421;
-// A connection that had rested may have been closing when it was used.
-constexpr Millis kRestedLong{ 1000 };
+constexpr int kMisdirectedRequest = 421;
+// A connection that was idle for this long may have been closing when it was
+// used.
+constexpr Millis kLongIdle{ 1000 };
 constexpr const char* kLeavingReason = "leaving";
 
 HomeAnswer
@@ -71,11 +74,12 @@
     }
     return Unknown(begun.error());
   }
-  // Dropping the exchange closes its connection: the server may stop then.
+  // Destroying the exchange without reading its answer closes the connection,
+  // which lets the server stop.
   auto& exchange = **begun;
   exchange.CancelWith(CancellationOf(aRequest));
   const auto deadline =
-    aRequest.mDeadline + (Lingers(aRequest) ? kLinger : Millis(0));
+    aRequest.mDeadline + (Lingers(aRequest) ? kLateAnswerWait : Millis(0));
   const auto stop = [&] {
     return IsCancelled(aRequest) || Now() >= mCutoff.Limit(deadline);
   };
@@ -84,35 +88,35 @@
     const auto id = idName.empty() ? "" : HeaderValue(aAnswer.mHeaders, idName);
     return id.empty() || id == aRequest.mRequestId;
   };
-  const auto rested = exchange.Rested();
+  const auto idleTime = exchange.Rested();
   auto answer = exchange.ReadAnswer(deadline, stop, belongs);
   if (answer) {
-    return Judge(aRequest, std::move(*answer));
+    return ToHomeAnswer(aRequest, std::move(*answer));
   }
   if (answer.error() == ExchangeError::kCancelled && !IsCancelled(aRequest)) {
-    return Unknown(ExchangeError::kTimeout); // cut off by a planned stop
+    return Unknown(ExchangeError::kTimeout); // aborted by a planned stop
   }
   auto unknown = Unknown(answer.error());
-  if (answer.error() == ExchangeError::kClosed && rested >= kRestedLong) {
+  if (answer.error() == ExchangeError::kClosed && idleTime >= kLongIdle) {
     unknown.mReason += "-after-rest";
   }
   return unknown;
 }
 
-// What an answer is worth. One that does not show that the server made it
-// whole is no answer.
+// Derives the outcome from an answer. It is unknown when the answer lacks the
+// server's mark that it is complete and its own.
 HomeAnswer
-ServerCall::Judge(const HomeRequest& aRequest, HttpAnswer aHttp)
+ServerCall::ToHomeAnswer(const HomeRequest& aRequest, HttpAnswer aHttp)
 {
-  if (SaysNotRun(aHttp)) {
-    return RefusedByServer(aHttp);
+  if (ReportsNotRun(aHttp)) {
+    return RejectionOf(aHttp);
   }
   const auto& names = mNames;
   const bool unsignedAnswer =
     !names.mSignature.empty() &&
     (HeaderValue(aHttp.mHeaders, names.mSignature).empty() ||
      HeaderValue(aHttp.mHeaders, names.mRequestId) != aRequest.mRequestId);
-  // Nobody asked for an encoding, so an encoded body is not the server's own.
+  // No request asks for a content encoding, so the server did not encode it.
   const bool encoded = !names.mSignature.empty() &&
                        !HeaderValue(aHttp.mHeaders, "Content-Encoding").empty();
   if (unsignedAnswer || encoded) {
@@ -123,24 +127,24 @@
 }
 
 bool
-ServerCall::SaysNotRun(const HttpAnswer& aHttp) const
+ServerCall::ReportsNotRun(const HttpAnswer& aHttp) const
 {
   const auto& notRun = mNames.mNotRun;
   if (notRun.empty()) {
     return HeaderValue(aHttp.mHeaders, hop::kOutcome) ==
            ToText(Outcome::kNotRun);
   }
-  return aHttp.mStatus == kMisdirected ||
+  return aHttp.mStatus == kMisdirectedRequest ||
          !HeaderValue(aHttp.mHeaders, notRun).empty();
 }
 
-// The server's own word that it did not run the request: it is shedding load,
-// leaving, or another one than the request was for.
+// The rejection by a server that reports that it did not run the request: it
+// sheds load, is leaving, or is not the server that the request is for.
 HomeAnswer
-ServerCall::RefusedByServer(const HttpAnswer& aHttp)
+ServerCall::RejectionOf(const HttpAnswer& aHttp)
 {
   auto refusal = Refusal::kServerBusy;
-  if (aHttp.mStatus == kMisdirected) {
+  if (aHttp.mStatus == kMisdirectedRequest) {
     refusal = Refusal::kNoServer;
   } else if (HeaderValue(aHttp.mHeaders, hop::kReason) == kLeavingReason) {
     refusal = Refusal::kLeaving;
--- a/packages/home/tests/HomeTest.cpp
+++ b/packages/home/tests/HomeTest.cpp
@@ -10,7 +10,7 @@
 const BackendServerName kServer("a");
 
 Snapshot
-With(std::optional<std::int64_t> aStartMs, bool aLeaving = false)
+MakeSnapshot(std::optional<std::int64_t> aStartMs, bool aLeaving = false)
 {
   Snapshot snapshot;
   auto& service = snapshot.mServices[kService];
@@ -29,7 +29,7 @@
   Cutoff mCutoff;
   Home mHome{ BoxName("box"), Incarnation(1), {}, {}, mCutoff };
 
-  bool Leaves() const
+  bool IsLeaving() const
   {
     return mHome.Find(kServer)->Dump().find("leaving=true") !=
            std::string::npos;
@@ -38,39 +38,39 @@
 
 } // namespace
 
-TEST_CASE("A server that starts again begins without what was known before")
+TEST_CASE("A restarted server does not inherit the state of the old one")
 {
   Fixture fixture;
-  fixture.mHome.Apply(With(1000));
+  fixture.mHome.Apply(MakeSnapshot(1000));
   const auto first = fixture.mHome.Find(kServer);
-  fixture.mHome.Apply(With(1000));
+  fixture.mHome.Apply(MakeSnapshot(1000));
   CHECK(fixture.mHome.Find(kServer) == first);
-  fixture.mHome.Apply(With(2000));
+  fixture.mHome.Apply(MakeSnapshot(2000));
   CHECK(fixture.mHome.Find(kServer) != first);
   CHECK(first->Dump().find("leaving=true") != std::string::npos);
-  CHECK_FALSE(fixture.Leaves());
+  CHECK_FALSE(fixture.IsLeaving());
 }
 
-TEST_CASE("A leave message closes its own start only")
+TEST_CASE("A leave message applies only to the incarnation that it names")
 {
   Fixture fixture;
-  fixture.mHome.Apply(With(2000));
+  fixture.mHome.Apply(MakeSnapshot(2000));
   fixture.mHome.SetServerLeaving(ServerIncarnation(kServer, 1000));
-  CHECK_FALSE(fixture.Leaves());
+  CHECK_FALSE(fixture.IsLeaving());
   fixture.mHome.SetServerLeaving(ServerIncarnation(kServer, 2000));
-  CHECK(fixture.Leaves());
-  // A snapshot that was built before the message came.
-  fixture.mHome.Apply(With(2000));
-  CHECK(fixture.Leaves());
-  fixture.mHome.Apply(With(3000));
-  CHECK_FALSE(fixture.Leaves());
+  CHECK(fixture.IsLeaving());
+  // A snapshot that was built before the message arrived.
+  fixture.mHome.Apply(MakeSnapshot(2000));
+  CHECK(fixture.IsLeaving());
+  fixture.mHome.Apply(MakeSnapshot(3000));
+  CHECK_FALSE(fixture.IsLeaving());
 }
 
-TEST_CASE("A server that is configured as leaving and then not is used again")
+TEST_CASE("A server that is no longer configured as leaving is used again")
 {
   Fixture fixture;
-  fixture.mHome.Apply(With(1000, true));
-  CHECK(fixture.Leaves());
-  fixture.mHome.Apply(With(1000));
-  CHECK_FALSE(fixture.Leaves());
+  fixture.mHome.Apply(MakeSnapshot(1000, true));
+  CHECK(fixture.IsLeaving());
+  fixture.mHome.Apply(MakeSnapshot(1000));
+  CHECK_FALSE(fixture.IsLeaving());
 }
--- a/packages/home/tests/LocalServerTest.cpp
+++ b/packages/home/tests/LocalServerTest.cpp
@@ -15,7 +15,7 @@
 constexpr Millis kPoll{ 2 };
 constexpr Millis kLong{ 20'000 };
 
-// A backend server with one slot whose requests run until they are let go.
+// A backend server with one slot whose requests run until mRelease is set.
 class OneSlotServer
 {
 public:
@@ -33,7 +33,7 @@
   {
   }
 
-  ~OneSlotServer() { mLetGo = true; }
+  ~OneSlotServer() { mRelease = true; }
 
   std::future<HomeAnswer> Begin(const HomeRequest& aRequest)
   {
@@ -41,7 +41,7 @@
                       [this, aRequest] { return mServer.Run(aRequest); });
   }
 
-  // Waits until so many requests run or wait.
+  // Waits until aCount requests run or wait for a slot.
   void AwaitInFlight(int aCount) const
   {
     const auto bound = Now() + kLong;
@@ -52,12 +52,12 @@
   }
 
   Cutoff mCutoff;
-  std::atomic<bool> mLetGo{ false };
+  std::atomic<bool> mRelease{ false };
 
 private:
   HttpReply Serve(const HttpCall& aCall) const
   {
-    while (!mLetGo && !aCall.mCancelled->IsCancelled()) {
+    while (!mRelease && !aCall.mCancelled->IsCancelled()) {
       std::this_thread::sleep_for(kPoll);
     }
     return { .mAnswer = { .mStatus = 200 } };
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("A server that leaves turns away what waits for its slot")
+TEST_CASE("A leaving server rejects requests that wait for a slot")
 {
   OneSlotServer server;
   auto running = server.Begin(Request(1));
@@ -94,22 +94,22 @@
   server.AwaitInFlight(2);
 
   server.mServer.SetLeaving(true);
-  const auto turnedAway = waiting.get(); // while the first one still runs
-  CHECK(turnedAway.mOutcome == Outcome::kNotRun);
-  CHECK(turnedAway.mRefusal == Refusal::kLeaving);
+  const auto rejected = waiting.get(); // while the first one still runs
+  CHECK(rejected.mOutcome == Outcome::kNotRun);
+  CHECK(rejected.mRefusal == Refusal::kLeaving);
   CHECK(server.mServer.InFlight() == 1);
 
-  server.mLetGo = true;
+  server.mRelease = true;
   CHECK(running.get().mOutcome == Outcome::kRun);
 }
 
-TEST_CASE("A server that hangs turns away what waits, but for the last resort")
+TEST_CASE("A hanging server rejects waiting requests except as a last resort")
 {
   OneSlotServer server;
   auto running = server.Begin(Request(1));
   server.AwaitInFlight(1);
   auto other = Request(2);
-  other.mPriority = Priority::kCritical; // as there is room for two of them
+  other.mPriority = Priority::kCritical; // the queue holds two of them
   auto waiting = server.Begin(other);
   server.AwaitInFlight(2);
   auto lastResort = Request(3);
@@ -118,25 +118,25 @@
   auto staying = server.Begin(lastResort);
   server.AwaitInFlight(3);
 
-  constexpr Millis kHangsFor{ 5000 };
-  constexpr Millis kLasts{ 500 };
-  CHECK_FALSE(server.mServer.TakeNews(Now() + kHangsFor).has_value());
-  const auto news = server.mServer.TakeNews(Now() + kHangsFor + kLasts);
-  REQUIRE(news.has_value());
-  CHECK(news->mDemoted);
-  CHECK(news->mReceivers == std::vector{ BoxName("b") });
+  constexpr Millis kHangTime{ 5000 };
+  constexpr Millis kReportDelay{ 500 };
+  CHECK_FALSE(server.mServer.TakeNews(Now() + kHangTime).has_value());
+  const auto update = server.mServer.TakeNews(Now() + kHangTime + kReportDelay);
+  REQUIRE(update.has_value());
+  CHECK(update->mDemoted);
+  CHECK(update->mReceivers == std::vector{ BoxName("b") });
   CHECK(waiting.get().mRefusal == Refusal::kDemoted);
   CHECK(server.mServer.InFlight() == 2);
 
-  server.mLetGo = true;
+  server.mRelease = true;
   CHECK(running.get().mOutcome == Outcome::kRun);
   CHECK(staying.get().mOutcome == Outcome::kRun);
 }
 
-TEST_CASE("A server takes its share of repeats and every first attempt")
+TEST_CASE("A server accepts its share of retries and every first attempt")
 {
   OneSlotServer server;
-  server.mLetGo = true;
+  server.mRelease = true;
   server.mServer.SetRetryBudget({ .mShare = 0.5, .mBurst = 1.0 });
   const auto send = [&](std::uint64_t aNumber, bool aRepeat) {
     auto request = Request(aNumber, true);
@@ -144,19 +144,20 @@
     return server.Begin(request).get();
   };
   CHECK(send(1, true).mOutcome == Outcome::kRun);
-  const auto refused = send(2, true);
-  CHECK(refused.mOutcome == Outcome::kNotRun);
-  CHECK(refused.mRefusal == Refusal::kNoRetries);
+  const auto rejected = send(2, true);
+  CHECK(rejected.mOutcome == Outcome::kNotRun);
+  CHECK(rejected.mRefusal == Refusal::kNoRetries);
   CHECK(send(3, false).mOutcome == Outcome::kRun);
   CHECK(send(4, true).mOutcome == Outcome::kNotRun);
   CHECK(send(5, false).mOutcome == Outcome::kRun);
   CHECK(send(6, true).mOutcome == Outcome::kRun);
 }
 
-TEST_CASE("A box that is stopped takes what may run once as the last resort")
+TEST_CASE(
+  "A stopping box accepts non-repeatable requests only as a last resort")
 {
   OneSlotServer server;
-  server.mLetGo = true;
+  server.mRelease = true;
   server.mCutoff.Set(Now() + kLong / 2);
 
   const auto once = server.Begin(Request(1)).get();
@@ -169,6 +170,6 @@
   CHECK(server.Begin(lastResort).get().mOutcome == Outcome::kRun);
 
   auto brief = Request(4);
-  brief.mDeadline = Now() + kLong / 4; // it ends before the box does
+  brief.mDeadline = Now() + kLong / 4; // it expires before the stop ends
   CHECK(server.Begin(brief).get().mOutcome == Outcome::kRun);
 }
--- a/packages/home/tests/RecentSendersTest.cpp
+++ b/packages/home/tests/RecentSendersTest.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("Boxes that sent lately are told, and no others")
+TEST_CASE("Only boxes that sent a request recently are returned")
 {
   RecentSenders senders;
   senders.OnRequest(Box(1), kStart);
@@ -28,14 +28,15 @@
   CHECK(later.front() == Box(2));
 }
 
-TEST_CASE("However many boxes send, the latest are kept")
+TEST_CASE("Beyond the maximum number of boxes the latest senders are kept")
 {
   constexpr int kBoxes = 1300;
   RecentSenders senders;
   for (int i = 0; i < kBoxes; ++i) {
     senders.OnRequest(Box(i), kStart + Millis(i));
   }
-  const auto told = senders.Since(kStart + Millis(kBoxes));
-  CHECK(told.size() == 64);
-  CHECK(std::find(told.begin(), told.end(), Box(kBoxes - 1)) != told.end());
+  const auto recent = senders.Since(kStart + Millis(kBoxes));
+  CHECK(recent.size() == 64);
+  CHECK(std::find(recent.begin(), recent.end(), Box(kBoxes - 1)) !=
+        recent.end());
 }
