--- a/packages/control/include/porttiller/control/NewsController.h
+++ b/packages/control/include/porttiller/control/NewsController.h
@@ -32,7 +32,7 @@
 
 private:
   void Tick();
-  void Notify(const ServerNews& aNews);
+  void Notify(const ServerStateUpdate& aNews);
 
   const Settings& mSettings;
   Home& mHome;
--- a/packages/control/src/NewsController.cpp
+++ b/packages/control/src/NewsController.cpp
@@ -48,7 +48,7 @@
 }
 
 void
-NewsController::Notify(const ServerNews& aNews)
+NewsController::Notify(const ServerStateUpdate& aNews)
 {
   const auto snapshot = mSnapshot();
   if (!snapshot) {
--- a/packages/entry/include/porttiller/entry/EntryView.h
+++ b/packages/entry/include/porttiller/entry/EntryView.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "porttiller/config/Snapshot.h"
-#include "porttiller/home/ServerNews.h"
+#include "porttiller/home/ServerStateUpdate.h"
 #include "porttiller/hop/HomeTypes.h"
 #include "porttiller/policy/AttemptPlan.h"
 #include "porttiller/policy/Balancer.h"
@@ -64,7 +64,7 @@
                  TimePoint aNow);
 
   // A server update sent by the home of the server.
-  void OnNews(const ServerNews& aUpdate, TimePoint aNow);
+  void OnNews(const ServerStateUpdate& aUpdate, TimePoint aNow);
 
   // The network path to a box failed or worked. Not counted against its
   // servers.
--- a/packages/entry/src/EntryView.cpp
+++ b/packages/entry/src/EntryView.cpp
@@ -341,7 +341,7 @@
 }
 
 void
-EntryView::OnNews(const ServerNews& aUpdate, TimePoint aNow)
+EntryView::OnNews(const ServerStateUpdate& aUpdate, TimePoint aNow)
 {
   auto& shard = ShardOf(aUpdate.mService);
   const std::lock_guard lock(shard.mMutex);
--- a/packages/entry/tests/EntryViewTest.cpp
+++ b/packages/entry/tests/EntryViewTest.cpp
@@ -86,10 +86,11 @@
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
-  ServerNews update{ .mServer = ServerIncarnation(BackendServerName("a")),
-                     .mService = ServiceName("ledger"),
-                     .mDemoted = true,
-                     .mRetryAfter = Millis(4000) };
+  ServerStateUpdate update{ .mServer =
+                              ServerIncarnation(BackendServerName("a")),
+                            .mService = ServiceName("ledger"),
+                            .mDemoted = true,
+                            .mRetryAfter = Millis(4000) };
   view.OnNews(update, kStart);
   const auto& service = snapshot.mServices.begin()->second;
   const auto choose = [&](TimePoint aNow) {
