--- a/packages/policy/include/porttiller/policy/Batcher.h
+++ b/packages/policy/include/porttiller/policy/Batcher.h
@@ -1,8 +1,8 @@
-// When changes that arrive one by one are passed on together. Answers two
-// loads: a start of many boxes, where whoever rebuilds its view for each record
-// that arrives does N rebuilds of N records; and a fleet whose boxes and
-// servers are replaced one after the other, where changes do not end and a
-// rebuild costs as much as the fleet is large.
+// Decides when changes that arrive one by one are processed as a batch. It
+// bounds the cost of two loads. When many boxes start, a node that rebuilt its
+// view for each of N records would do N rebuilds of N records. When boxes and
+// servers are replaced one after another, changes arrive continuously and each
+// rebuild costs time proportional to the fleet.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -13,36 +13,36 @@
 
 struct BatcherOptions
 {
-  // Between two batches. A change after a rest passes at once, so that a single
-  // one is in force as soon as before.
-  Millis mGap{ 200 };
-  // Batches that take long come less often: the rest behind one is so many
-  // times what it took, so that at most a tenth of the time goes into them.
-  int mRestPerCost = 9;
-  // Never more: servers that join are to be used, and those that drain to be
-  // left alone, within the two seconds that a drain lasts.
-  Millis mMaxGap{ 1000 };
+  // Between the starts of two batches. A change after an idle period is
+  // processed at once, so a single change is not delayed.
+  Millis mMinInterval{ 200 };
+  // Idle time after a batch as a multiple of the time that it took, so that
+  // batches use at most a tenth of the time.
+  int mIdleRatio = 9;
+  // Limit of the interval: a drain lasts two seconds, and within it joining
+  // servers must be used and draining ones avoided.
+  Millis mMaxInterval{ 1000 };
 };
 
-// Not thread-safe: its owner holds the lock of what changes.
+// Not thread-safe: its owner holds the lock of the data that changes.
 class Batcher
 {
 public:
   explicit Batcher(BatcherOptions aOptions = {});
 
-  // A change: the time until the batch that takes it, when one has to be
-  // planned; null when one is planned already.
+  // Records a change. Returns the delay until the batch that includes it if the
+  // caller must schedule one; null if one is scheduled already.
   std::optional<Millis> OnChange(TimePoint aNow);
-  // The planned batch takes what has changed until now.
+  // The scheduled batch starts; it includes all changes until now.
   void OnBatch(TimePoint aNow);
-  // That batch is done.
+  // That batch is finished.
   void OnBatchDone(TimePoint aNow);
 
 private:
   const BatcherOptions mOptions;
-  bool mPlanned = false;
-  std::optional<TimePoint> mLast; // begin of the last batch
-  Millis mGap;                    // behind that one
+  bool mScheduled = false;
+  std::optional<TimePoint> mLastBatch; // start of the last batch
+  Millis mInterval;                    // from that start to the next batch
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/CatchUp.h
+++ b/packages/policy/include/porttiller/policy/CatchUp.h
@@ -1,8 +1,8 @@
-// Which peers are asked for a newer configuration. Answers two loads: changes
-// that follow each other faster than a question takes, where what is announced
-// during a question must not be forgotten and what one peer tells may be
-// overtaken by another; and peers that do not answer, which must not keep the
-// others from being asked.
+// Selects the peers to ask for a newer configuration. It handles two loads.
+// When changes arrive faster than a request completes, an announcement during a
+// request must not be forgotten, and the answer of one peer may be outdated by
+// that of another. And peers that do not answer must not keep others from being
+// asked.
 #pragma once
 
 #include <cstdint>
@@ -15,41 +15,45 @@
 
 struct CatchUpOptions
 {
-  // Peers asked at a time; a second one makes up for one that is silent.
-  std::size_t mMaxOpen = 3;
-  // Peers that are known to be ahead; those furthest ahead are remembered.
-  std::size_t mMaxKnown = 8;
+  // Concurrent requests; others make up for a peer that does not answer.
+  std::size_t mMaxPending = 3;
+  // Peers known to be ahead; those with the newest revisions are kept.
+  std::size_t mMaxCandidates = 8;
 };
 
-// A peer is named by its address. Not thread-safe.
+// Peers are identified by their addresses. Not thread-safe.
 class CatchUp
 {
 public:
   explicit CatchUp(CatchUpOptions aOptions = {});
 
-  // A peer holds this revision.
+  // A peer announced this revision.
   void OnHeard(const std::string& aPeer, std::uint64_t aRevision);
-  // The question to a peer has ended, with an answer or without; this node then
-  // holds aHeld. A peer that is still ahead is asked again, unless nothing has
-  // moved here since its last answer.
-  void OnEnded(const std::string& aPeer, bool aAnswered, std::uint64_t aHeld);
-  // The peers that are to be asked now, for a node that holds aHeld. They count
-  // as asked until OnEnded.
-  std::vector<std::string> Next(std::uint64_t aHeld);
+  // The request to a peer has ended, with or without an answer; this node then
+  // holds aHeldRevision. A peer that is still ahead is asked again, unless this
+  // node has made no progress since the peer's last answer.
+  void OnEnded(const std::string& aPeer,
+               bool aAnswered,
+               std::uint64_t aHeldRevision);
+  // Returns the peers to ask now, for a node that holds aHeldRevision. Their
+  // requests are pending until OnEnded.
+  std::vector<std::string> Next(std::uint64_t aHeldRevision);
 
   // The newest revision that a peer is known to hold.
   std::uint64_t Newest() const;
 
 private:
-  struct Known
+  struct Candidate
   {
     std::uint64_t mRevision = 0;
-    std::uint64_t mHeldThen = 0; // by this node, after its last answer
+    // Held by this node after the last answer of the peer.
+    std::uint64_t mHeldAfterAnswer = 0;
   };
 
   const CatchUpOptions mOptions;
-  std::map<std::string, Known> mKnown; // peers that were ahead when heard of
-  std::set<std::string> mOpen;
+  // Peers that were ahead when they announced their revision.
+  std::map<std::string, Candidate> mCandidates;
+  std::set<std::string> mPending;
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/CircuitBreaker.h
+++ b/packages/policy/include/porttiller/policy/CircuitBreaker.h
@@ -1,9 +1,9 @@
-// Turns requests that may run only once away from a server as soon as one of
-// its answers was lost. Such a request is gone with the answer, while one that
-// may be repeated is made good elsewhere; so those try the server, a few at a
-// time, and successes in a row close the breaker again. It acts on the first
-// failure and takes no capacity away, where the ejection machine needs several
-// and may set a server aside for long.
+// Keeps requests that are not repeatable away from a server once one of its
+// answers was lost. Such a request is lost with its answer, while a repeatable
+// one can be retried elsewhere. Repeatable requests therefore serve as trials,
+// a few at a time, and consecutive successes close the breaker again. It acts
+// on the first failure and takes no capacity away, whereas the ejection machine
+// needs several failures and may remove a server for long.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -15,68 +15,75 @@
 
 struct CircuitBreakerOptions
 {
-  // Between two trials; doubles with each one that fails. On the users' days a
-  // bad spell lasts some nine seconds, so early trials only spend retries.
-  Millis mTrialGap{ 300 };
-  Millis mMaxTrialGap{ 1500 };
-  int mSuccessesToClose = 2; // in a row
-  // With no failure for so long a request that may run once is a trial too:
-  // others may never come. Longer than the spells of some nine seconds that
-  // servers have on the users' days, as it is lost when it fails.
-  Millis mTrialOfAny{ 10'000 };
-  // Errors that the server itself answers count as a failure when so many among
-  // the last kErrorWindow answers are this unlikely for its service: what all
-  // its servers answer comes from what they call, or from the requests.
-  double mErrorsUnlikely = 0.02;
+  // Between two trials; doubles with each failed trial. Outages in production
+  // last about nine seconds, so earlier trials only use up retries.
+  Millis mTrialInterval{ 300 };
+  Millis mMaxTrialInterval{ 1500 };
+  int mSuccessesToClose = 2; // consecutive
+  // After this time without a failure a request that is not repeatable also
+  // serves as a trial, since there may be no other requests. Longer than the
+  // outages of about nine seconds in production, as the request is lost if the
+  // trial fails.
+  Millis mNonRepeatableTrialDelay{ 10'000 };
+  // Errors that the server itself returns count as a failure if the probability
+  // of as many among the last kErrorWindow answers, at the usual error share of
+  // its service, is below this. Errors of all servers are caused by a
+  // dependency or by the requests.
+  double mErrorSignificance = 0.02;
 };
 
 enum class BreakerState
 {
-  kClosed,  // every request is admitted
-  kHalfOpen // only trials with requests that may be repeated
+  kClosed,  // all requests are admitted
+  kHalfOpen // only trials and requests of last resort are
 };
 
 const char*
 ToText(BreakerState aState);
 
-// Of one server. Not thread-safe: its owner holds the server's lock.
+// State of one server. Not thread-safe: its owner holds the server's lock.
 class CircuitBreaker
 {
 public:
   explicit CircuitBreaker(CircuitBreakerOptions aOptions = {});
 
-  // True when the request may be sent to the server now; a trial counts from
-  // then on. aLastResort: no other server would take it.
+  // Returns true if the request may be sent to the server now. A request that
+  // is admitted as a trial delays the next one. With aLastResort no other
+  // server would take the request, so it is always admitted.
   bool Admit(bool aRepeatable, bool aLastResort, TimePoint aNow);
 
-  // An answer was lost, cut or spoiled. True when the state changed.
+  // An answer was lost, truncated or corrupted. Returns true if the state
+  // changed.
   bool OnFailure(TimePoint aNow);
-  // The server answered a request in order that was sent to it at aSent. One
-  // from before the last failure tells nothing. True when the state changed.
+  // The server properly answered a request that was sent to it at aSent.
+  // Answers to requests from before the last failure are ignored. Returns true
+  // if the state changed.
   bool OnSuccess(TimePoint aSent);
-  // The server answered with an error of its own; aUsualErrors is the share of
-  // such answers over all servers of its service. True as with OnFailure.
-  bool OnError(double aUsualErrors, TimePoint aNow);
-  // What had opened it was no failure.
+  // The server returned an error of its own; aUsualErrorShare is the share of
+  // such answers over all servers of its service. Returns true if the state
+  // changed.
+  bool OnError(double aUsualErrorShare, TimePoint aNow);
+  // Closes the breaker: the event that opened it was no failure.
   void Close();
 
   BreakerState State() const { return mState; }
-  // When a refused request may be tried here again.
+  // The time after which a rejected request may be retried here.
   Millis RetryAfter(TimePoint aNow) const;
   std::string Dump() const;
 
 private:
   static constexpr int kErrorWindow = 6;
 
-  using Window = std::bitset<kErrorWindow>; // of the last answers, newest first
+  using Window = std::bitset<kErrorWindow>; // latest answers, newest first
 
-  void Note(bool aError);
-  // Of so many errors in the window, or more, were each as likely as aShare.
-  static double Likelihood(int aErrors, double aShare);
+  void RecordAnswer(bool aError);
+  // Returns the probability of at least aErrors errors in the window if each
+  // answer is one with probability aShare.
+  static double BinomialTail(int aErrors, double aShare);
 
   CircuitBreakerOptions mOptions;
   BreakerState mState = BreakerState::kClosed;
-  Millis mGap;
+  Millis mCurrentInterval;
   int mSuccesses = 0;
   TimePoint mNextTrial;
   TimePoint mLastFailure;
--- a/packages/policy/include/porttiller/policy/Detector.h
+++ b/packages/policy/include/porttiller/policy/Detector.h
@@ -1,7 +1,7 @@
-// Tells a failing backend server from a healthy one by its answers, as a
-// sequential test: each answer adds the logarithm of how much likelier it is
-// from a sick server, and a sum over the threshold is an alarm. Source: Page,
-// "Continuous inspection schemes", 1954 (CUSUM).
+// Detects a failing backend server from its answers by a sequential test
+// (CUSUM): each answer adds the logarithm of the ratio of its likelihoods at a
+// faulty and at a healthy server. A sum above the threshold raises an alarm.
+// Source: Page, "Continuous inspection schemes", 1954.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -13,43 +13,44 @@
 
 namespace porttiller {
 
-// What one answer says of its server.
+// What one answer shows about its server.
 struct Evidence
 {
-  bool mFailed = false;     // an error of the server, a cut answer, no answer
-  Micros mLatency{ 0 };     // of the server alone; ignored when failed
-  std::uint32_t mClass = 0; // kind of call, so that partial faults show
+  bool mFailed = false;     // server error, truncated answer or no answer
+  Micros mLatency{ 0 };     // of the server alone; ignored if mFailed
+  std::uint32_t mClass = 0; // kind of request, to detect partial faults
 };
 
-struct DetectorOptions
+struct CusumDetectorOptions
 {
-  // Log-likelihood for an alarm: higher is slower and surer.
+  // Log-likelihood ratio for an alarm: a higher one is slower and has fewer
+  // false alarms.
   double mThreshold = 24.0;
   double mHealthyFailureRate = 0.002;
-  // Failure rates that are tested for, each by a sum of its own.
-  std::vector<double> mSickFailureRates = { 0.1, 0.5 };
-  // For each class of calls by itself; its threshold is higher by
-  // log(mMaxClasses), as there are more sums that could err.
-  double mSickClassFailureRate = 0.6;
+  // The failure rates to detect, each with its own sum.
+  std::vector<double> mFaultyFailureRates = { 0.1, 0.5 };
+  // For the separate sum of each request class. Its threshold is higher by
+  // log(mMaxClasses), since more sums can raise a false alarm.
+  double mFaultyClassFailureRate = 0.6;
   std::size_t mMaxClasses = 16;
   double mHealthySlowRate = 0.05;
-  double mSickSlowRate = 0.5;
-  // Slow: over the median by this factor and by this time.
+  double mFaultySlowRate = 0.5;
+  // A slow answer exceeds the median by this factor and by this time.
   double mSlowFactor = 4.0;
-  Micros mSlowFloor{ 5000 };
-  // Failures that come together have one cause: of those within this time only
-  // so many count.
+  Micros mMinSlowExcess{ 5000 };
+  // Failures that come together have one cause: within this window only
+  // mBurstFailures of them count.
   Millis mBurstWindow{ 200 };
   int mBurstFailures = 2;
-  // Answers before the median is trusted.
+  // Answers needed before the median is used.
   int mBaselineSamples = 30;
 };
 
-// One log-likelihood sum of a yes-or-no observation.
+// The log-likelihood sum of one binary observation.
 class CusumTest
 {
 public:
-  CusumTest(double aHealthyRate, double aSickRate);
+  CusumTest(double aHealthyRate, double aFaultyRate);
 
   void Observe(bool aHit);
   double Score() const { return mScore; }
@@ -61,7 +62,7 @@
   double mScore = 0.0;
 };
 
-// A running median by small steps, which needs no samples kept.
+// A running median that moves by small relative steps and keeps no samples.
 class MedianTracker
 {
 public:
@@ -74,7 +75,7 @@
   int mSamples = 0;
 };
 
-// A mean of the last few values, newest first in weight.
+// An exponentially weighted mean of recent values.
 class RecentMean
 {
 public:
@@ -90,25 +91,25 @@
 class Detector
 {
 public:
-  explicit Detector(DetectorOptions aOptions = {});
+  explicit Detector(CusumDetectorOptions aOptions = {});
 
-  // With aCountSlow unset slowness is overlooked, as for a server that is
-  // warming up.
+  // Slowness is ignored if aCountSlow is false, as for a server that is warming
+  // up.
   void Observe(const Evidence& aEvidence, bool aCountSlow, TimePoint aNow);
 
   bool Suspicious() const { return Score() >= 1.0; }
-  // The highest sum as a share of its threshold; 1 and above is an alarm.
+  // The highest sum divided by its threshold; 1 or more is an alarm.
   double Score() const;
-  // True when the alarm rests on slowness alone.
+  // True if only slowness raised the alarm.
   bool OnlySlow() const;
   bool IsSlow(Micros aLatency) const;
 
   Micros MedianLatency() const { return mMedian.Value(); }
-  // Of the last few answers, slow ones included.
+  // Recent mean latency, slow answers included.
   Micros RecentLatency() const { return mRecent.Value(); }
   int Samples() const { return mMedian.Samples(); }
 
-  // Forgets the sums; the median stays.
+  // Clears the sums; the median stays.
   void Reset();
   std::string Dump() const;
 
@@ -117,13 +118,13 @@
   bool InBurst(TimePoint aNow);
   void ObserveLatency(Micros aLatency, bool aCountSlow);
 
-  DetectorOptions mOptions;
+  CusumDetectorOptions mOptions;
   std::vector<CusumTest> mFailures;
   std::unordered_map<std::uint32_t, CusumTest> mClasses;
   CusumTest mSlow;
   MedianTracker mMedian; // of healthy answers
   RecentMean mRecent;
-  TimePoint mBurstBegan;
+  TimePoint mBurstStart;
   int mBurstCount = 0;
 };
 
--- a/packages/policy/include/porttiller/policy/EjectionLedger.h
+++ b/packages/policy/include/porttiller/policy/EjectionLedger.h
@@ -1,7 +1,7 @@
-// Which backend servers of a service are ejected, as all homes agree on it,
-// and the rule that keeps the floor. The ledger is one object at the platform;
-// a home replaces it by a conditional update, so two homes cannot both take
-// the last slack.
+// The ejected backend servers of a service, shared by all homes, and the rule
+// that enforces the service's capacity floor. The ledger is one object at the
+// platform. Homes replace it by conditional updates, so two homes cannot both
+// use the last spare capacity.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -17,13 +17,13 @@
 {
   BackendServerName mServer;
   BoxName mBox;
-  Incarnation mIncarnation; // of the home that ejected it
+  Incarnation mIncarnation; // of the home that ejected the server
   int mSlots = 0;
 
   friend auto operator<=>(const LedgerEntry&, const LedgerEntry&) = default;
 };
 
-// A server's capacity as one home sees it.
+// The capacity of one server as a home sees it.
 struct ServerCapacity
 {
   BackendServerName mServer;
@@ -39,11 +39,12 @@
 
 enum class FloorError
 {
-  kFloor,        // it would leave less than the floor
+  kFloor,        // the ejection would leave less than the floor
   kUnknownServer // the server is not in the capacity view
 };
 
-// An immutable value; changes make a new one. Entries are oldest first.
+// An immutable value: changes return a new ledger. Entries are ordered from
+// oldest to newest.
 class EjectionLedger
 {
 public:
@@ -53,24 +54,25 @@
   const std::vector<LedgerEntry>& Entries() const { return mEntries; }
   bool Holds(const BackendServerName& aServer, Incarnation aIncarnation) const;
 
-  // The ledger with this ejection, if that leaves the floor.
+  // Returns the ledger with this ejection added, or an error if that would
+  // violate the floor.
   tl::expected<EjectionLedger, FloorError> WithEjection(
     const LedgerEntry& aEntry,
     const CapacityView& aCapacity) const;
 
   EjectionLedger WithoutServer(const BackendServerName& aServer) const;
 
-  // Without what earlier lives of this box left behind.
+  // Drops the entries that earlier incarnations of the daemon on aBox left.
   EjectionLedger WithoutEarlierLives(const BoxName& aBox,
                                      Incarnation aCurrent) const;
 
-  // Only with the entries of this box whose servers are in aHeld; those of
-  // other boxes stay.
+  // Drops the entries of aBox whose servers are not in aHeld. Entries of other
+  // boxes stay.
   EjectionLedger WithOwnOnly(const BoxName& aBox,
                              const std::set<BackendServerName>& aHeld) const;
 
-  // The newest entries, whose servers must work again for the floor to hold:
-  // after boxes died, or the floor was raised.
+  // Returns the newest entries, as many as must end for the floor to hold again
+  // after boxes died or the floor was raised.
   std::vector<LedgerEntry> Excess(const CapacityView& aCapacity) const;
 
   friend auto operator<=>(const EjectionLedger&,
--- a/packages/policy/include/porttiller/policy/EjectionMachine.h
+++ b/packages/policy/include/porttiller/policy/EjectionMachine.h
@@ -1,9 +1,11 @@
-// Decides when a home sets one of its backend servers aside and takes it back.
+// Decides when a home removes one of its backend servers from rotation and when
+// it returns.
 //
-// Setting aside has two steps. A *demoted* server refuses work that can go
-// elsewhere and still serves as the last resort: no capacity is taken away, so
-// no permission is needed and the platform may be away. An *ejected* server
-// refuses all work, and only with a permission that keeps the service's floor.
+// Removal has two steps. A *demoted* server rejects work that another server
+// can run and still serves as the last resort. That takes no capacity away, so
+// it needs no permission and works while the platform is unavailable. An
+// *ejected* server rejects all work, which needs a permission that keeps the
+// capacity floor of its service.
 #pragma once
 
 #include "porttiller/policy/Detector.h"
@@ -18,10 +20,10 @@
 enum class ServerPhase
 {
   kHealthy,
-  kAsking,    // suspicious; other homes are asked whether they see the same
-  kDemoted,   // set aside without a permission
-  kEjected,   // set aside with one
-  kProbation, // a trickle of repeatable requests decides
+  kAsking,    // suspicious; other homes are asked about their servers
+  kDemoted,   // removed from rotation without a permission
+  kEjected,   // removed from rotation with a permission
+  kProbation, // tested with a few repeatable requests
   kRamping    // warming up with fewer slots
 };
 
@@ -30,44 +32,46 @@
 
 struct EjectionOptions
 {
-  DetectorOptions mDetector;
-  // Demote even when no other home answers.
-  bool mActAlone = false;
-  Millis mAskAgain{ 250 }; // while the fault looks common
-  // So many polls in a row, this far apart, must find the fault to be this
-  // server's own: a common one reaches some homes later.
+  CusumDetectorOptions mDetector;
+  // Demote even if no other home answers.
+  bool mDemoteWithoutPeers = false;
+  Millis mPeerPollInterval{ 250 }; // while the fault looks common
+  // The number of consecutive polls, this far apart, that must attribute the
+  // fault to this server: some homes see a common fault later than others.
   int mConfirmingPolls = 2;
-  Millis mConfirmAfter{ 200 };
-  Millis mFirstAside{ 3000 }; // doubles with each strike
-  Millis mLongestAside{ 300'000 };
-  Millis mForgiveAfter{ 60'000 }; // healthy this long: a strike less
+  Millis mConfirmationDelay{ 200 };
+  Millis mBaseRemovalTime{ 3000 }; // doubles with each strike
+  Millis mMaxRemovalTime{ 300'000 };
+  // A strike expires after this time in good health.
+  Millis mStrikeDecayTime{ 60'000 };
   Millis mPermissionRetry{ 1000 };
-  Millis mTrickleGap{ 100 }; // between probation requests
+  Millis mProbationInterval{ 100 }; // between probation requests
   int mProbationSuccesses = 10;
-  // Share of the detector's threshold that counts after a strike.
-  double mStrikeThreshold = 0.5;
-  Millis mRamp{ 10'000 };
-  double mFirstRampShare = 0.25; // of the slots, after having been set aside
-  Millis mClockJump{ 3000 };     // a gap between ticks that means: was frozen
+  // Share of the detector's threshold that raises an alarm while the server has
+  // strikes.
+  double mThresholdShareAfterStrike = 0.5;
+  Millis mRampTime{ 10'000 };
+  double mRampStartShare = 0.25; // of the slots, after removal
+  Millis mMaxTickGap{ 3000 }; // a longer gap means that the process was frozen
 };
 
-// For services where a wrong ejection costs much of the capacity.
+// For services where a wrong ejection costs a large share of the capacity.
 EjectionOptions
 CarefulEjection();
 
-// For services where every second of a failing server hurts.
+// For services where every second with a failing server is costly.
 EjectionOptions
 FastEjection();
 
-// How another home's server of the same service fares.
+// Health of another home's server of the same service.
 struct PeerHealth
 {
-  bool mSuspicious = false; // well on the way to an alarm, or past it
-  Micros mMedianLatency{ 0 };
+  bool mSuspicious = false;   // close to an alarm or past it
+  Micros mMedianLatency{ 0 }; // the recent mean; named as on the wire
   int mSamples = 0;
 };
 
-// What the owner has to do; each is answered by the event named with it.
+// Requests to the owner, each answered by a call of the method that it names.
 struct AskPeers // OnPeers
 {};
 struct RequestPermission // OnPermission
@@ -81,8 +85,8 @@
 enum class PermissionAnswer
 {
   kGranted,
-  kFloor,      // the floor does not allow it
-  kUnavailable // the platform is away, or the outcome is not known
+  kFloor,      // the floor does not permit the ejection
+  kUnavailable // the platform is unavailable or the outcome is unknown
 };
 
 enum class GateVerdict
@@ -92,40 +96,41 @@
   kEjected
 };
 
-// Of one server. Not thread-safe: its owner holds the server's lock.
+// State machine of one server. Not thread-safe: its owner holds the server's
+// lock.
 class EjectionMachine
 {
 public:
-  // Starts with patience for slowness, as the server may be cold, but with all
-  // its slots: this home may be what is new.
+  // Starts without counting slow answers, as the server may be cold, but with
+  // all its slots: the daemon may have started after the server.
   EjectionMachine(EjectionOptions aOptions, TimePoint aNow);
 
   void OnEvidence(const Evidence& aEvidence, TimePoint aNow);
-  // Call every 50 to 200 ms.
+  // Must be called every 50 to 200 ms.
   std::vector<EjectionAction> OnTick(TimePoint aNow);
-  // What other homes said; empty when none answered in time. aOthers is the
+  // The answers of other homes; empty if none answered in time. aOthers is the
   // number of other servers of the service.
   void OnPeers(const std::vector<PeerHealth>& aPeers,
                int aOthers,
                TimePoint aNow);
   void OnPermission(PermissionAnswer aAnswer, TimePoint aNow);
   void OnReleased(bool aDone, TimePoint aNow);
-  // The service fell below its floor: work again, at once.
+  // The service fell below its floor: the server returns to rotation at once.
   void OnFloorBroken(TimePoint aNow);
 
   GateVerdict Gate(bool aRepeatable, bool aLastResort, TimePoint aNow);
-  // When a refused request may try again.
+  // The time after which a rejected request may be retried.
   Millis RetryAfter(TimePoint aNow) const;
-  // Share of the slots in use: 1 but for ramping.
+  // Share of the slots in use: 1 except while ramping up.
   double SlotShare(TimePoint aNow) const;
 
-  // What this home answers when another one asks; null for a server that is
-  // set aside, which says nothing of a fault that others have now.
+  // The answer to a poll by another home. Null while the server is out of
+  // rotation, as it then provides no evidence of a fault that others have now.
   std::optional<PeerHealth> Health() const;
 
   ServerPhase Phase() const { return mPhase; }
   bool SetAside() const;
-  // True while the server takes no work at all: its capacity is away.
+  // True while the server takes no work at all, so its capacity is missing.
   bool Ejected() const;
   bool HoldsPermission() const { return mPermission != Permission::kNone; }
   const Detector& Evidences() const { return mDetector; }
@@ -135,20 +140,20 @@
   enum class Permission
   {
     kNone,
-    kAsked, // maybe held: counts as used, not as granted
+    kRequested, // may be held: counts towards the floor, but does not eject
     kHeld,
-    kReleasing // maybe still held
+    kReleasing // may still be held
   };
 
   bool Suspicious() const;
   void Enter(ServerPhase aPhase, TimePoint aNow);
-  void SetAsideNow(TimePoint aNow);
-  void OnClockJump(TimePoint aNow);
+  void RemoveFromRotation(TimePoint aNow);
+  void OnTickGap(TimePoint aNow);
   void AdvancePhase(TimePoint aNow);
-  // True when the alarm began the questions to other homes.
+  // Returns true if an alarm started polling other homes.
   bool StartAsking(TimePoint aNow);
   void EndProbation(bool aGood, TimePoint aNow);
-  void Forgive(TimePoint aNow);
+  void DecayStrikes(TimePoint aNow);
   bool IsCommonCause(const std::vector<PeerHealth>& aPeers) const;
   std::optional<EjectionAction> PermissionAction(TimePoint aNow);
 
@@ -156,16 +161,16 @@
   Detector mDetector;
   ServerPhase mPhase = ServerPhase::kRamping;
   Permission mPermission = Permission::kNone;
-  bool mCallOpen = false; // an action whose answer has not come
+  bool mActionPending = false; // an action has not been answered yet
   TimePoint mPhaseSince;
-  TimePoint mAsideUntil;
-  TimePoint mNextCall;
-  TimePoint mNextTrickle;
+  TimePoint mRemovedUntil;
+  TimePoint mNextAction;
+  TimePoint mNextProbationRequest;
   TimePoint mLastTick;
   int mStrikes = 0;
-  int mOwnFaultPolls = 0; // in a row
-  double mRampFrom = 1.0;
-  int mProbationGood = 0;
+  int mOwnFaultPolls = 0; // consecutive
+  double mRampStart = 1.0;
+  int mSuccessesInProbation = 0;
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/Membership.h
+++ b/packages/policy/include/porttiller/policy/Membership.h
@@ -1,7 +1,8 @@
-// Which boxes are alive, by random probes, indirect probes and gossip. The
-// traffic of a node does not depend on the number of boxes. A box that others
-// can reach is alive, even when this one cannot: then only the path is cut.
-// Source: Das, Gupta, Motivala, "SWIM", 2002.
+// Tracks which boxes are alive by random probes, indirect probes and gossip
+// (SWIM). The traffic of a node does not depend on the number of boxes. A box
+// that other boxes can reach is alive even if this one cannot reach it; then
+// only the direct path is cut. Source: Das, Gupta, Motivala, "SWIM: Scalable
+// Weakly-consistent Infection-style Process Group Membership Protocol", 2002.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -17,19 +18,19 @@
 
 namespace porttiller {
 
-// In order of precedence within one life and refutation.
+// In order of precedence within one incarnation and refutation.
 enum class MemberState
 {
   kAlive,
-  kSuspect, // not reached by anyone who tried; may refute
-  kLeaving, // said so itself
+  kSuspect, // no node that tried got an answer; may refute
+  kLeaving, // announced by the box itself
   kDead
 };
 
 const char*
 ToText(MemberState aState);
 
-// A belief about one box, as it is spread.
+// The state of one box as it is gossiped.
 struct MemberUpdate
 {
   BoxName mBox;
@@ -42,13 +43,15 @@
 
 struct MembershipOptions
 {
-  Millis mSuspectTime{ 3000 }; // to refute before a box is called dead
-  std::size_t mHelpers = 3;    // boxes asked for an indirect probe
+  // Time that a suspect has to refute before it is declared dead.
+  Millis mSuspicionTimeout{ 3000 };
+  std::size_t mIndirectProbes = 3; // boxes asked for an indirect probe
   std::size_t mUpdatesPerMessage = 6;
-  int mSpreadFactor = 3; // times log2 of the number of boxes
-  // Of the largest fleet whose boxes all probe each other.
-  std::size_t mAllProbeUpTo = 40;
-  std::uint64_t mOthersOneIn = 8;
+  int mRetransmitFactor = 3; // times log2 of the number of boxes
+  // Largest fleet in which every box probes all others.
+  std::size_t mMaxFullProbingBoxes = 40;
+  // In larger fleets, one probe in this many goes to any box.
+  std::uint64_t mRandomProbePeriod = 8;
 };
 
 // Owned by the membership controller, under its lock.
@@ -59,57 +62,59 @@
              Incarnation aIncarnation,
              MembershipOptions aOptions = {});
 
-  // The platform's list, self included; it lags and only names candidates.
+  // Sets the platform's list of boxes, this one included. The list lags, so it
+  // only provides candidates.
   void SetBoxes(const std::vector<BoxName>& aBoxes);
 
-  // The next box to probe: each neighbour in turn, in an order shuffled by
-  // aRandom. In a small fleet all others are neighbours. In a large one they
-  // are those 1, 2, 4, ... places on in the ring of all boxes by hash, so that
-  // each box has as many probers as neighbours, links stay in use, and news
-  // still crosses the fleet in log2 of its size rounds; one probe in
-  // mOthersOneIn goes to any other box, gone ones too, so that parts that were
-  // cut off find each other again. Every second probe goes to a box that this
-  // one could not reach, if there is one.
+  // Returns the next box to probe: each neighbor in turn, in an order shuffled
+  // by aRandom. In a small fleet all other boxes are neighbors. In a large
+  // fleet they are the boxes 1, 2, 4, ... places ahead on a hash ring of all
+  // boxes. Each box then has as many probers as neighbors, connections are
+  // reused, and updates still cross a fleet of n boxes in log2(n) rounds. One
+  // probe in mRandomProbePeriod goes to any other box, dead and leaving ones
+  // included, so that the sides of a healed partition find each other. Every
+  // second probe goes to a box that this one could not reach, if there is one.
   std::optional<BoxName> NextProbe(std::uint64_t aRandom);
-  // Others, thought alive, that may probe aTarget for this node.
+  // Returns other boxes, believed alive, to probe aTarget for this node.
   std::vector<BoxName> Helpers(const BoxName& aTarget,
                                std::uint64_t aRandom) const;
 
   // The box answered this node.
   void OnReached(const BoxName& aBox, Incarnation aIncarnation);
-  // It answered a helper, but not this node.
+  // The box answered an indirect probe, but not this node.
   void OnReachedByOthers(const BoxName& aBox, Incarnation aIncarnation);
-  // Nobody who tried got an answer.
+  // The box answered neither this node nor an indirect probe.
   void OnNotReached(const BoxName& aBox, TimePoint aNow);
-  // The box has started anew, as its record tells; records spread by
-  // themselves, so this is no news for others.
+  // The record of the box shows a new incarnation. Records are distributed
+  // separately, so this is not gossiped.
   void OnNewLife(const BoxName& aBox, Incarnation aIncarnation);
-  // Beliefs of another node.
+  // Member states received from another node.
   void OnUpdates(const std::vector<MemberUpdate>& aUpdates, TimePoint aNow);
   // This box is leaving.
   void Leave();
-  // Suspects whose time is up are dead.
+  // Declares boxes dead that have been suspected for mSuspicionTimeout.
   void OnTick(TimePoint aNow);
 
-  // What to put on a message to aTo: news, and what is wrong about aTo so that
-  // it can refute.
+  // Returns the updates to piggyback on a message to aTo: recent changes, and
+  // any state of aTo other than alive so that it can refute.
   std::vector<MemberUpdate> Spread(const BoxName& aTo);
 
-  // What changes where requests may go: suspicions, ends and refutations that
-  // are new here. Each is given out once, at most aMost at a time, to be told
-  // at once: on probes alone, one a second, news takes five rounds to cross 353
-  // boxes, and each entry loses a request to a box without power meanwhile.
-  std::vector<MemberUpdate> TakeUrgent(std::size_t aMost);
+  // Returns changes that affect where requests may be sent: new suspicions,
+  // deaths, departures and refutations. Each is returned once, at most
+  // aMaxUpdates at a time, and should be sent at once. Probes alone, at one a
+  // second, need five rounds to carry an update across 353 boxes, and meanwhile
+  // each entry loses a request to a box without power.
+  std::vector<MemberUpdate> TakeUrgent(std::size_t aMaxUpdates);
 
   MemberState StateOf(const BoxName& aBox) const;
-  Incarnation LifeOf(const BoxName& aBox) const;
-  // False while only others reach it.
+  Incarnation IncarnationOf(const BoxName& aBox) const;
+  // False while only other boxes reach it.
   bool PathWorks(const BoxName& aBox) const;
-  // Whether requests should go there while other boxes would take them: a
-  // suspect may still refute, but what is lost on the way to it stays lost.
-  bool WorthSending(const BoxName& aBox) const;
+  // Whether to send requests to the box while other boxes would take them. A
+  // suspect may still refute, but requests lost on the way to it stay lost.
+  bool IsRoutable(const BoxName& aBox) const;
   std::vector<BoxName> NotWorthSending() const;
-  // Neither dead nor leaving, self included.
+  // The boxes that are neither dead nor leaving, this one included.
   std::vector<BoxName> LiveBoxes() const;
   std::size_t Size() const { return mMembers.size(); }
   std::string Dump() const;
@@ -122,17 +127,19 @@
     MemberState mState = MemberState::kAlive;
     bool mPathWorks = true;
     TimePoint mSuspectSince;
-    int mSpreadLeft = 0;
+    int mRetransmitsLeft = 0;
   };
 
   bool Supersedes(const MemberUpdate& aUpdate, const Member& aHeld) const;
-  void Take(const MemberUpdate& aUpdate, TimePoint aNow);
+  void Apply(const MemberUpdate& aUpdate, TimePoint aNow);
   void Refute(const MemberUpdate& aUpdate);
-  void MarkAlive(const BoxName& aBox, Incarnation aIncarnation, bool aPath);
-  void MarkNews(Member& aMember) const;
+  void MarkAlive(const BoxName& aBox,
+                 Incarnation aIncarnation,
+                 bool aDirectPath);
+  void ScheduleRetransmits(Member& aMember) const;
   void MarkUrgent(const BoxName& aBox);
-  std::vector<BoxName> Neighbours() const;
-  std::vector<BoxName> OthersOf(bool aPresentOnly) const;
+  std::vector<BoxName> Neighbors() const;
+  std::vector<BoxName> OtherBoxes(bool aLiveOnly) const;
   std::optional<BoxName> UnreachedBox(std::uint64_t aRandom) const;
   MemberUpdate ToUpdate(const BoxName& aBox, const Member& aMember) const;
 
@@ -141,7 +148,7 @@
   std::map<BoxName, Member> mMembers;
   std::deque<BoxName> mProbeOrder;
   std::set<BoxName> mUrgent;
-  bool mProbeUnreached = false; // next, if there is one
+  bool mProbeUnreached = false; // the next probe prefers an unreached box
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/RouteTimes.h
+++ b/packages/policy/include/porttiller/policy/RouteTimes.h
@@ -1,4 +1,4 @@
-// How long the requests of each route take at one server.
+// The distribution of request times of each route at one server.
 #pragma once
 
 #include "porttiller/policy/LatencyModel.h"
@@ -15,14 +15,15 @@
   void Observe(const std::string& aRoute, Micros aTime);
   // The share of the route's requests that take longer than aTime.
   double Survival(const std::string& aRoute, Micros aTime) const;
-  // Nine in ten of its requests take no longer; zero while few were seen.
+  // The 90th percentile of the route's request times; zero while there are too
+  // few samples.
   Micros UsualTime(const std::string& aRoute) const;
 
 private:
   const LatencyModel& ModelOf(const std::string& aRoute) const;
 
   std::map<std::string, LatencyModel> mRoutes;
-  LatencyModel mOthers; // of routes that are new or too many
+  LatencyModel mAllRoutes; // for routes without a usable model of their own
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/SilenceDetector.h
+++ b/packages/policy/include/porttiller/policy/SilenceDetector.h
@@ -1,9 +1,9 @@
-// Tells a server that leaves requests without an answer from one that is merely
-// busy with long ones, by the ages of all requests that run there. Each adds
-// the logarithm of how much likelier its age is at a server that hangs; each
-// answer speaks for the server. The sum over the requests since the likeliest
-// moment at which hanging began is the score. Source: Page, "Continuous
-// inspection schemes", 1954 (CUSUM).
+// Distinguishes a server that does not answer from one that is busy with long
+// requests, by the ages of all requests that run there. Each request adds the
+// logarithm of the ratio of its age's likelihoods at a hanging and at a healthy
+// server; each answer counts against hanging. The score is the sum since the
+// most likely moment at which the server began to hang. Source: Page,
+// "Continuous inspection schemes", 1954 (CUSUM).
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -17,23 +17,23 @@
 
 struct SilenceDetectorOptions
 {
-  // Of the requests at a server that hangs, those that get no answer; the
-  // others are answered as usual. On the users' machines it is 0.75.
-  double mHangingShare = 0.75;
-  // Log-likelihood for an alarm. At 2.6 one request alone raises it once
-  // one in eighteen would take longer, two of the same age once one in five
-  // would.
+  // Share of the requests at a hanging server that get no answer, as in
+  // production; the others are answered as usual.
+  double mUnansweredShare = 0.75;
+  // Log-likelihood ratio for an alarm. At 2.6, one request raises it at an age
+  // that one in eighteen exceeds; two of the same age raise it where one in
+  // five does.
   double mThreshold = 2.6;
-  // The sum is kept below this, so that two answers end any alarm.
-  double mCeiling = 4.6;
-  // Requests that count, newest first.
-  std::size_t mMemory = 16;
+  // The sum is limited to this value, so that two answers end any alarm.
+  double mMaxScore = 4.6;
+  // The newest requests, which count.
+  std::size_t mMaxRequests = 16;
 };
 
-// The share of requests of a route that run for longer than a time.
+// Returns the share of requests of a route that take longer than a time.
 using SurvivalOf = std::function<double(const std::string&, Micros)>;
 
-// Of one server. Not thread-safe: its owner holds the server's lock.
+// State of one server. Not thread-safe: its owner holds the server's lock.
 class SilenceDetector
 {
 public:
@@ -43,9 +43,9 @@
                  const std::string& aRoute,
                  TimePoint aNow);
   void OnAnswered(const AttemptId& aAttempt);
-  // Nobody waits for its answer any more.
+  // The request was abandoned; its age no longer grows.
   void OnGivenUp(const AttemptId& aAttempt, TimePoint aNow);
-  // It says nothing of the server.
+  // Drops an attempt that shows nothing about the server.
   void Forget(const AttemptId& aAttempt);
   void Reset() { mRequests.clear(); }
 
@@ -56,11 +56,11 @@
   }
 
 private:
-  enum class Fate
+  enum class RequestState
   {
     kRunning,
     kAnswered,
-    kGivenUp
+    kAbandoned
   };
 
   struct Request
@@ -68,14 +68,14 @@
     AttemptId mAttempt;
     std::string mRoute;
     TimePoint mStarted;
-    Fate mFate = Fate::kRunning;
-    TimePoint mEnded; // when given up
+    RequestState mState = RequestState::kRunning;
+    TimePoint mEnded; // if abandoned
   };
 
   Request* Find(const AttemptId& aAttempt);
-  double Evidence(const Request& aRequest,
-                  const SurvivalOf& aSurvival,
-                  TimePoint aNow) const;
+  double LogLikelihoodRatio(const Request& aRequest,
+                            const SurvivalOf& aSurvival,
+                            TimePoint aNow) const;
 
   SilenceDetectorOptions mOptions;
   std::deque<Request> mRequests; // in the order of their start
--- a/packages/policy/include/porttiller/policy/Spread.h
+++ b/packages/policy/include/porttiller/policy/Spread.h
@@ -1,5 +1,6 @@
-// Whom a box tells its news, so that few copies cross the border of an
-// availability zone: some boxes of each other zone, who tell their neighbours.
+// Chooses the boxes to which a box sends an update so that few copies cross
+// zone boundaries: a few boxes of each other zone receive it and forward it
+// within their zone.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -12,12 +13,12 @@
 
 struct SpreadOptions
 {
-  std::size_t mOwnZone = 0;      // boxes of the teller's zone
-  std::size_t mPerOtherZone = 0; // boxes of each other zone
+  std::size_t mOwnZone = 0;      // receivers in the sender's zone
+  std::size_t mPerOtherZone = 0; // receivers in each other zone
 };
 
-// Indices into aZones, which holds the zone of each box that may be told.
-// aRandom is a uniform 64-bit draw.
+// Returns indices into aZones, which holds the zone of each candidate. aRandom
+// is a uniform 64-bit draw.
 std::vector<std::size_t>
 ChooseReceivers(std::span<const AvailabilityZone> aZones,
                 const AvailabilityZone& aOwnZone,
--- a/packages/policy/include/porttiller/policy/WatchTurns.h
+++ b/packages/policy/include/porttiller/policy/WatchTurns.h
@@ -1,10 +1,10 @@
-// How long each watcher of a zone waits at the store in one call, so that they
-// come back in turns. Answers the load of open connections that all go silent
-// at one moment: each watch then ends at its time-out, and the zone hears of
-// changes as soon as the first of its watchers has a new connection. With n
-// watchers a call of each takes n steps and one of them ends in every step, as
-// many calls as one watcher that waits a step. If some are turned away by the
-// store the others leave a gap of a step for each.
+// Staggers the long polls of a zone's watchers at the store, so that they end
+// in turn. If all connections become unresponsive at one moment, each poll ends
+// only at its timeout, and the zone receives changes again as soon as its first
+// watcher has a new connection. With n watchers each poll lasts n steps and one
+// of them ends in every step. That costs as many calls as one watcher that
+// polls for one step. Each watcher that the store rejects leaves a gap of one
+// step.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -14,7 +14,7 @@
 
 namespace porttiller {
 
-// The place of a watcher among those of its zone.
+// The position of a watcher among those of its zone.
 struct WatchPlace
 {
   std::size_t mRank = 0; // from 0
@@ -34,15 +34,15 @@
 public:
   explicit WatchTurns(WatchTurnsOptions aOptions);
 
-  // The wait of the next watch.
+  // Returns the duration of the next long poll.
   Millis NextWait(const WatchPlace& aPlace);
-  // All watchers of the zone have come back at one moment, as a change is
-  // told to all of them: their turns begin anew.
-  void OnChange() { mFirst = true; }
+  // A change ended the polls of all watchers in the zone at one moment, so
+  // their turns start again.
+  void OnChange() { mFirstWait = true; }
 
 private:
   const WatchTurnsOptions mOptions;
-  bool mFirst = true; // the next wait is the first of its turns
+  bool mFirstWait = true; // the next poll is the first of its turns
   std::optional<WatchPlace> mPlace;
 };
 
--- a/packages/policy/src/Batcher.cpp
+++ b/packages/policy/src/Batcher.cpp
@@ -6,38 +6,39 @@
 
 Batcher::Batcher(BatcherOptions aOptions)
   : mOptions(aOptions)
-  , mGap(aOptions.mGap)
+  , mInterval(aOptions.mMinInterval)
 {
 }
 
 std::optional<Millis>
 Batcher::OnChange(TimePoint aNow)
 {
-  if (mPlanned) {
+  if (mScheduled) {
     return std::nullopt;
   }
-  mPlanned = true;
-  if (!mLast) {
+  mScheduled = true;
+  if (!mLastBatch) {
     return Millis(0);
   }
-  const auto left = std::chrono::ceil<Millis>(*mLast + mGap - aNow);
+  const auto left = std::chrono::ceil<Millis>(*mLastBatch + mInterval - aNow);
   return std::max(Millis(0), left);
 }
 
 void
 Batcher::OnBatch(TimePoint aNow)
 {
-  mPlanned = false;
-  mLast = aNow;
+  mScheduled = false;
+  mLastBatch = aNow;
 }
 
 void
 Batcher::OnBatchDone(TimePoint aNow)
 {
-  const auto cost = std::chrono::ceil<Millis>(aNow - mLast.value_or(aNow));
-  const auto gap = cost * (1 + mOptions.mRestPerCost);
-  const auto most = std::max(mOptions.mGap, mOptions.mMaxGap);
-  mGap = std::clamp(gap, mOptions.mGap, most);
+  const auto batchTime =
+    std::chrono::ceil<Millis>(aNow - mLastBatch.value_or(aNow));
+  const auto interval = batchTime * (1 + mOptions.mIdleRatio);
+  const auto longest = std::max(mOptions.mMinInterval, mOptions.mMaxInterval);
+  mInterval = std::clamp(interval, mOptions.mMinInterval, longest);
 }
 
 } // namespace porttiller
--- a/packages/policy/src/CatchUp.cpp
+++ b/packages/policy/src/CatchUp.cpp
@@ -13,48 +13,54 @@
 void
 CatchUp::OnHeard(const std::string& aPeer, std::uint64_t aRevision)
 {
-  auto& known = mKnown[aPeer];
-  known.mRevision = std::max(known.mRevision, aRevision);
-  if (mKnown.size() > mOptions.mMaxKnown) {
-    mKnown.erase(std::min_element(
-      mKnown.begin(), mKnown.end(), [](const auto& aLeft, const auto& aRight) {
+  auto& candidate = mCandidates[aPeer];
+  candidate.mRevision = std::max(candidate.mRevision, aRevision);
+  if (mCandidates.size() > mOptions.mMaxCandidates) {
+    mCandidates.erase(std::min_element(
+      mCandidates.begin(),
+      mCandidates.end(),
+      [](const auto& aLeft, const auto& aRight) {
         return aLeft.second.mRevision < aRight.second.mRevision;
       }));
   }
 }
 
 void
-CatchUp::OnEnded(const std::string& aPeer, bool aAnswered, std::uint64_t aHeld)
+CatchUp::OnEnded(const std::string& aPeer,
+                 bool aAnswered,
+                 std::uint64_t aHeldRevision)
 {
-  mOpen.erase(aPeer);
-  const auto it = mKnown.find(aPeer);
-  if (it == mKnown.end()) {
+  mPending.erase(aPeer);
+  const auto it = mCandidates.find(aPeer);
+  if (it == mCandidates.end()) {
     return;
   }
-  const bool moved = std::exchange(it->second.mHeldThen, aHeld) != aHeld;
-  if (!aAnswered || !moved) {
-    mKnown.erase(it);
+  const bool advanced =
+    std::exchange(it->second.mHeldAfterAnswer, aHeldRevision) != aHeldRevision;
+  if (!aAnswered || !advanced) {
+    mCandidates.erase(it);
   }
 }
 
 std::vector<std::string>
-CatchUp::Next(std::uint64_t aHeld)
+CatchUp::Next(std::uint64_t aHeldRevision)
 {
-  std::erase_if(
-    mKnown, [&](const auto& aItem) { return aItem.second.mRevision <= aHeld; });
+  std::erase_if(mCandidates, [&](const auto& aItem) {
+    return aItem.second.mRevision <= aHeldRevision;
+  });
   std::vector<std::pair<std::uint64_t, std::string>> candidates;
-  for (const auto& [peer, known] : mKnown) {
-    if (!mOpen.contains(peer)) {
-      candidates.emplace_back(known.mRevision, peer);
+  for (const auto& [peer, candidate] : mCandidates) {
+    if (!mPending.contains(peer)) {
+      candidates.emplace_back(candidate.mRevision, peer);
     }
   }
   std::sort(candidates.rbegin(), candidates.rend());
   std::vector<std::string> next;
   for (const auto& [revision, peer] : candidates) {
-    if (mOpen.size() >= mOptions.mMaxOpen) {
+    if (mPending.size() >= mOptions.mMaxPending) {
       break;
     }
-    mOpen.insert(peer);
+    mPending.insert(peer);
     next.push_back(peer);
   }
   return next;
@@ -64,8 +70,8 @@
 CatchUp::Newest() const
 {
   std::uint64_t newest = 0;
-  for (const auto& [peer, known] : mKnown) {
-    newest = std::max(newest, known.mRevision);
+  for (const auto& [peer, candidate] : mCandidates) {
+    newest = std::max(newest, candidate.mRevision);
   }
   return newest;
 }
--- a/packages/policy/src/CircuitBreaker.cpp
+++ b/packages/policy/src/CircuitBreaker.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// Servers answer about one request in a hundred with an error of their own.
-constexpr double kLeastErrors = 0.012;
-constexpr double kMostErrors = 0.9;
-constexpr double kTellingErrors = 0.2;
+// Healthy servers return an error of their own to about one request in a
+// hundred.
+constexpr double kMinErrorShare = 0.012;
+constexpr double kMaxErrorShare = 0.9;
+constexpr double kMaxConclusiveErrorShare = 0.2;
 
 } // namespace
 
@@ -22,7 +23,7 @@
 
 CircuitBreaker::CircuitBreaker(CircuitBreakerOptions aOptions)
   : mOptions(aOptions)
-  , mGap(aOptions.mTrialGap)
+  , mCurrentInterval(aOptions.mTrialInterval)
 {
 }
 
@@ -33,11 +34,11 @@
     return true;
   }
   const bool mayTry =
-    aRepeatable || aNow >= mLastFailure + mOptions.mTrialOfAny;
+    aRepeatable || aNow >= mLastFailure + mOptions.mNonRepeatableTrialDelay;
   if (!mayTry || aNow < mNextTrial) {
     return false;
   }
-  mNextTrial = aNow + mGap;
+  mNextTrial = aNow + mCurrentInterval;
   return true;
 }
 
@@ -50,25 +51,27 @@
   const bool opened = mState == BreakerState::kClosed;
   if (opened) {
     mState = BreakerState::kHalfOpen;
-    mGap = mOptions.mTrialGap;
+    mCurrentInterval = mOptions.mTrialInterval;
   } else {
-    mGap = std::min(mGap * 2, mOptions.mMaxTrialGap);
+    mCurrentInterval =
+      std::min(mCurrentInterval * 2, mOptions.mMaxTrialInterval);
   }
-  mNextTrial = aNow + mGap;
+  mNextTrial = aNow + mCurrentInterval;
   return opened;
 }
 
 void
-CircuitBreaker::Note(bool aError)
+CircuitBreaker::RecordAnswer(bool aError)
 {
   mErrors <<= 1;
   mErrors[0] = aError;
 }
 
 double
-CircuitBreaker::Likelihood(int aErrors, double aShare)
+CircuitBreaker::BinomialTail(int aErrors, double aShare)
 {
-  double exactly = std::pow(1.0 - aShare, kErrorWindow); // i errors
+  double exactly =
+    std::pow(1.0 - aShare, kErrorWindow); // probability of exactly i errors
   double sum = 0.0;
   for (int i = 0; i <= kErrorWindow; ++i) {
     sum += i >= aErrors ? exactly : 0.0;
@@ -78,16 +81,18 @@
 }
 
 bool
-CircuitBreaker::OnError(double aUsualErrors, TimePoint aNow)
+CircuitBreaker::OnError(double aUsualErrorShare, TimePoint aNow)
 {
-  Note(true);
-  const double share = std::clamp(aUsualErrors, kLeastErrors, kMostErrors);
+  RecordAnswer(true);
+  const double share =
+    std::clamp(aUsualErrorShare, kMinErrorShare, kMaxErrorShare);
   if (mState == BreakerState::kHalfOpen) {
-    // A trial says something unless the error is what any server answers.
-    return share < kTellingErrors && OnFailure(aNow);
+    // A trial is inconclusive if errors are common on all servers.
+    return share < kMaxConclusiveErrorShare && OnFailure(aNow);
   }
   const auto errors = static_cast<int>(mErrors.count());
-  const bool unusual = Likelihood(errors, share) < mOptions.mErrorsUnlikely;
+  const bool unusual =
+    BinomialTail(errors, share) < mOptions.mErrorSignificance;
   return unusual && OnFailure(aNow);
 }
 
@@ -101,11 +106,11 @@
 bool
 CircuitBreaker::OnSuccess(TimePoint aSent)
 {
-  Note(false);
+  RecordAnswer(false);
   if (mState == BreakerState::kClosed || aSent < mLastFailure) {
     return false;
   }
-  mGap = mOptions.mTrialGap;
+  mCurrentInterval = mOptions.mTrialInterval;
   if (++mSuccesses < mOptions.mSuccessesToClose) {
     return false;
   }
--- a/packages/policy/src/Detector.cpp
+++ b/packages/policy/src/Detector.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-constexpr double kFirstStep = 0.3;
-constexpr double kLastStep = 0.02;
-// The median stands still while slowness builds up, or it would follow it.
-constexpr double kFreezeShare = 0.2;
+constexpr double kMaxMedianStep = 0.3;
+constexpr double kMinMedianStep = 0.02;
+// The median is frozen once slowness accumulates to this share of the
+// threshold; otherwise it would follow the slow answers.
+constexpr double kMedianFreezeShare = 0.2;
 constexpr double kRecentWeight = 0.125;
 
 } // namespace
 
-CusumTest::CusumTest(double aHealthyRate, double aSickRate)
-  : mHit(std::log(aSickRate / aHealthyRate))
-  , mMiss(std::log((1.0 - aSickRate) / (1.0 - aHealthyRate)))
+CusumTest::CusumTest(double aHealthyRate, double aFaultyRate)
+  : mHit(std::log(aFaultyRate / aHealthyRate))
+  , mMiss(std::log((1.0 - aFaultyRate) / (1.0 - aHealthyRate)))
 {
 }
 
@@ -37,7 +38,8 @@
     mValue = value;
     return;
   }
-  const double step = std::max(kLastStep, kFirstStep / std::sqrt(mSamples));
+  const double step =
+    std::max(kMinMedianStep, kMaxMedianStep / std::sqrt(mSamples));
   mValue *= value > mValue ? 1.0 + step : 1.0 / (1.0 + step);
 }
 
@@ -49,21 +51,21 @@
   mEmpty = false;
 }
 
-Detector::Detector(DetectorOptions aOptions)
+Detector::Detector(CusumDetectorOptions aOptions)
   : mOptions(std::move(aOptions))
-  , mSlow(mOptions.mHealthySlowRate, mOptions.mSickSlowRate)
+  , mSlow(mOptions.mHealthySlowRate, mOptions.mFaultySlowRate)
 {
-  for (const double rate : mOptions.mSickFailureRates) {
+  for (const double rate : mOptions.mFaultyFailureRates) {
     mFailures.emplace_back(mOptions.mHealthyFailureRate, rate);
   }
 }
 
-// Counts a failure; true when enough of its burst have counted already.
+// Counts a failure. Returns true if enough failures of its burst have counted.
 bool
 Detector::InBurst(TimePoint aNow)
 {
-  if (mBurstCount == 0 || aNow - mBurstBegan >= mOptions.mBurstWindow) {
-    mBurstBegan = aNow;
+  if (mBurstCount == 0 || aNow - mBurstStart >= mOptions.mBurstWindow) {
+    mBurstStart = aNow;
     mBurstCount = 0;
   }
   return ++mBurstCount > mOptions.mBurstFailures;
@@ -83,7 +85,7 @@
     it = mClasses
            .emplace(aEvidence.mClass,
                     CusumTest(mOptions.mHealthyFailureRate,
-                              mOptions.mSickClassFailureRate))
+                              mOptions.mFaultyClassFailureRate))
            .first;
   }
   if (it != mClasses.end()) {
@@ -102,7 +104,7 @@
     return;
   }
   mSlow.Observe(IsSlow(aLatency));
-  if (mSlow.Score() < kFreezeShare * mOptions.mThreshold) {
+  if (mSlow.Score() < kMedianFreezeShare * mOptions.mThreshold) {
     mMedian.Observe(aLatency);
   }
 }
@@ -116,7 +118,7 @@
   const auto median = mMedian.Value();
   const Micros byFactor(static_cast<std::int64_t>(
     static_cast<double>(median.count()) * mOptions.mSlowFactor));
-  return aLatency > std::max(byFactor, median + mOptions.mSlowFloor);
+  return aLatency > std::max(byFactor, median + mOptions.mMinSlowExcess);
 }
 
 double
--- a/packages/policy/src/EjectionLedger.cpp
+++ b/packages/policy/src/EjectionLedger.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Slots of live servers that aEntries do not eject. A server that is gone
-// counts neither as capacity nor as ejected.
+// Returns the slots of live servers that are not in aEntries. A server whose
+// box is dead or leaving counts neither as capacity nor as ejected.
 int
 WorkingSlots(const std::vector<LedgerEntry>& aEntries,
              const CapacityView& aCapacity)
@@ -26,7 +26,7 @@
 }
 
 bool
-Knows(const CapacityView& aCapacity, const BackendServerName& aServer)
+IsKnown(const CapacityView& aCapacity, const BackendServerName& aServer)
 {
   return std::any_of(
     aCapacity.mServers.begin(),
@@ -55,7 +55,7 @@
 EjectionLedger::WithEjection(const LedgerEntry& aEntry,
                              const CapacityView& aCapacity) const
 {
-  if (!Knows(aCapacity, aEntry.mServer)) {
+  if (!IsKnown(aCapacity, aEntry.mServer)) {
     return tl::make_unexpected(FloorError::kUnknownServer);
   }
   auto next = WithoutServer(aEntry.mServer);
--- a/packages/policy/src/EjectionMachine.cpp
+++ b/packages/policy/src/EjectionMachine.cpp
@@ -10,11 +10,13 @@
 constexpr double kCarefulThreshold = 18.0;
 constexpr double kFastThreshold = 12.0;
 constexpr Millis kMinRetryAfter{ 100 };
-// Slower than the other homes' servers by this factor is one's own slowness.
-constexpr double kSlowerThanPeers = 2.0;
-constexpr int kPeerSamples = 10;
-// A common fault reaches one home's alarm before the others'.
-constexpr double kPeerSuspicion = 0.2;
+// A server that is slower than those of other homes by this factor has a fault
+// of its own.
+constexpr double kMinSlownessOverPeers = 2.0;
+constexpr int kMinPeerSamples = 10;
+// A common fault may raise one home's alarm before the others', so a peer
+// counts as suspicious at this share of the threshold.
+constexpr double kPeerSuspicionScore = 0.2;
 
 } // namespace
 
@@ -51,7 +53,7 @@
 {
   EjectionOptions options;
   options.mDetector.mThreshold = kFastThreshold;
-  options.mActAlone = true;
+  options.mDemoteWithoutPeers = true;
   return options;
 }
 
@@ -70,11 +72,13 @@
          mPhase == ServerPhase::kProbation;
 }
 
-// A server that failed lately is likelier to fail again.
+// A server that failed recently is more likely to fail again, so strikes lower
+// the threshold.
 bool
 EjectionMachine::Suspicious() const
 {
-  return mDetector.Score() >= (mStrikes > 0 ? mOptions.mStrikeThreshold : 1.0);
+  return mDetector.Score() >=
+         (mStrikes > 0 ? mOptions.mThresholdShareAfterStrike : 1.0);
 }
 
 bool
@@ -91,14 +95,14 @@
 }
 
 void
-EjectionMachine::SetAsideNow(TimePoint aNow)
+EjectionMachine::RemoveFromRotation(TimePoint aNow)
 {
   ++mStrikes;
   const int doublings = std::min(mStrikes - 1, kMaxDoublings);
-  mAsideUntil = aNow + std::min(mOptions.mFirstAside * (1 << doublings),
-                                mOptions.mLongestAside);
-  mNextCall = aNow;
-  mRampFrom = mOptions.mFirstRampShare;
+  mRemovedUntil = aNow + std::min(mOptions.mBaseRemovalTime * (1 << doublings),
+                                  mOptions.mMaxRemovalTime);
+  mNextAction = aNow;
+  mRampStart = mOptions.mRampStartShare;
   mDetector.Reset();
   Enter(mPermission == Permission::kHeld ? ServerPhase::kEjected
                                          : ServerPhase::kDemoted,
@@ -111,14 +115,14 @@
   if (mPhase == ServerPhase::kProbation) {
     const bool good =
       !aEvidence.mFailed && !mDetector.IsSlow(aEvidence.mLatency);
-    mProbationGood = good ? mProbationGood + 1 : 0;
-    if (!good || mProbationGood >= mOptions.mProbationSuccesses) {
+    mSuccessesInProbation = good ? mSuccessesInProbation + 1 : 0;
+    if (!good || mSuccessesInProbation >= mOptions.mProbationSuccesses) {
       EndProbation(good, aNow);
     }
     return;
   }
   if (SetAside()) {
-    return; // answers to requests from before, or of the last resort
+    return; // earlier requests, or requests sent here as the last resort
   }
   const bool cold = mPhase == ServerPhase::kRamping;
   mDetector.Observe(aEvidence, !cold, aNow);
@@ -128,18 +132,18 @@
 EjectionMachine::EndProbation(bool aGood, TimePoint aNow)
 {
   if (!aGood) {
-    SetAsideNow(aNow);
+    RemoveFromRotation(aNow);
     return;
   }
   mDetector.Reset();
-  mNextCall = aNow;
+  mNextAction = aNow;
   Enter(ServerPhase::kRamping, aNow);
 }
 
 void
-EjectionMachine::Forgive(TimePoint aNow)
+EjectionMachine::DecayStrikes(TimePoint aNow)
 {
-  if (mStrikes > 0 && aNow - mPhaseSince >= mOptions.mForgiveAfter) {
+  if (mStrikes > 0 && aNow - mPhaseSince >= mOptions.mStrikeDecayTime) {
     --mStrikes;
     mPhaseSince = aNow;
   }
@@ -148,14 +152,15 @@
 std::vector<EjectionAction>
 EjectionMachine::OnTick(TimePoint aNow)
 {
-  if (aNow - mLastTick > mOptions.mClockJump) {
-    OnClockJump(aNow);
+  if (aNow - mLastTick > mOptions.mMaxTickGap) {
+    OnTickGap(aNow);
   }
   mLastTick = aNow;
   AdvancePhase(aNow);
   std::vector<EjectionAction> actions;
-  if (mPhase == ServerPhase::kAsking && !mCallOpen && aNow >= mNextCall) {
-    mCallOpen = true;
+  if (mPhase == ServerPhase::kAsking && !mActionPending &&
+      aNow >= mNextAction) {
+    mActionPending = true;
     actions.emplace_back(AskPeers());
   } else if (auto action = PermissionAction(aNow)) {
     actions.push_back(*action);
@@ -163,17 +168,17 @@
   return actions;
 }
 
-// Frozen for a while: what was permitted may be outdated. Only a fresh
-// permission ejects again.
+// The process was frozen, so the permission may be outdated. Ejecting the
+// server again needs a new one.
 void
-EjectionMachine::OnClockJump(TimePoint aNow)
+EjectionMachine::OnTickGap(TimePoint aNow)
 {
   if (mPhase != ServerPhase::kEjected) {
     return;
   }
-  mPermission = Permission::kAsked;
-  mCallOpen = false;
-  mNextCall = aNow;
+  mPermission = Permission::kRequested;
+  mActionPending = false;
+  mNextAction = aNow;
   Enter(ServerPhase::kDemoted, aNow);
 }
 
@@ -182,11 +187,11 @@
 {
   switch (mPhase) {
     case ServerPhase::kHealthy:
-      Forgive(aNow);
+      DecayStrikes(aNow);
       StartAsking(aNow);
       break;
     case ServerPhase::kRamping:
-      if (!StartAsking(aNow) && aNow - mPhaseSince >= mOptions.mRamp) {
+      if (!StartAsking(aNow) && aNow - mPhaseSince >= mOptions.mRampTime) {
         Enter(ServerPhase::kHealthy, aNow);
       }
       break;
@@ -197,9 +202,9 @@
       break;
     case ServerPhase::kDemoted:
     case ServerPhase::kEjected:
-      if (aNow >= mAsideUntil) {
-        mProbationGood = 0;
-        mNextTrickle = aNow;
+      if (aNow >= mRemovedUntil) {
+        mSuccessesInProbation = 0;
+        mNextProbationRequest = aNow;
         Enter(ServerPhase::kProbation, aNow);
       }
       break;
@@ -214,7 +219,7 @@
   if (!Suspicious()) {
     return false;
   }
-  mNextCall = aNow;
+  mNextAction = aNow;
   mOwnFaultPolls = 0;
   Enter(ServerPhase::kAsking, aNow);
   return true;
@@ -223,18 +228,18 @@
 std::optional<EjectionAction>
 EjectionMachine::PermissionAction(TimePoint aNow)
 {
-  if (mCallOpen || aNow < mNextCall) {
+  if (mActionPending || aNow < mNextAction) {
     return std::nullopt;
   }
   const bool working = !SetAside() && mPhase != ServerPhase::kAsking;
   if (working && HoldsPermission()) {
     mPermission = Permission::kReleasing;
-    mCallOpen = true;
+    mActionPending = true;
     return ReleasePermission();
   }
   if (mPhase == ServerPhase::kDemoted) {
-    mPermission = Permission::kAsked;
-    mCallOpen = true;
+    mPermission = Permission::kRequested;
+    mActionPending = true;
     return RequestPermission();
   }
   return std::nullopt;
@@ -245,15 +250,15 @@
 {
   const bool onlySlow = mDetector.OnlySlow();
   const auto recent = static_cast<double>(mDetector.RecentLatency().count());
-  int same = 0;
+  int affected = 0;
   for (const auto& peer : aPeers) {
     const bool asSlow =
-      onlySlow && peer.mSamples >= kPeerSamples &&
-      recent <
-        kSlowerThanPeers * static_cast<double>(peer.mMedianLatency.count());
-    same += peer.mSuspicious || asSlow ? 1 : 0;
+      onlySlow && peer.mSamples >= kMinPeerSamples &&
+      recent < kMinSlownessOverPeers *
+                 static_cast<double>(peer.mMedianLatency.count());
+    affected += peer.mSuspicious || asSlow ? 1 : 0;
   }
-  return 2 * same >= static_cast<int>(aPeers.size());
+  return 2 * affected >= static_cast<int>(aPeers.size());
 }
 
 void
@@ -261,26 +266,27 @@
                          int aOthers,
                          TimePoint aNow)
 {
-  mCallOpen = false;
+  mActionPending = false;
   if (mPhase != ServerPhase::kAsking) {
     return;
   }
-  const bool alone = aPeers.empty();
-  const bool ownFault =
-    aOthers > 0 && (alone ? mOptions.mActAlone : !IsCommonCause(aPeers));
+  const bool noPeers = aPeers.empty();
+  const bool ownFault = aOthers > 0 && (noPeers ? mOptions.mDemoteWithoutPeers
+                                                : !IsCommonCause(aPeers));
   mOwnFaultPolls = ownFault ? mOwnFaultPolls + 1 : 0;
   if (mOwnFaultPolls >= mOptions.mConfirmingPolls) {
-    SetAsideNow(aNow);
+    RemoveFromRotation(aNow);
     return;
   }
-  mNextCall = aNow + (ownFault ? mOptions.mConfirmAfter : mOptions.mAskAgain);
+  mNextAction = aNow + (ownFault ? mOptions.mConfirmationDelay
+                                 : mOptions.mPeerPollInterval);
 }
 
 void
 EjectionMachine::OnPermission(PermissionAnswer aAnswer, TimePoint aNow)
 {
-  mCallOpen = false;
-  mNextCall = aNow + mOptions.mPermissionRetry;
+  mActionPending = false;
+  mNextAction = aNow + mOptions.mPermissionRetry;
   switch (aAnswer) {
     case PermissionAnswer::kGranted:
       mPermission = Permission::kHeld;
@@ -292,15 +298,15 @@
       mPermission = Permission::kNone;
       break;
     case PermissionAnswer::kUnavailable:
-      break; // still kAsked: it may be held
+      break; // stays kRequested: it may be held
   }
 }
 
 void
 EjectionMachine::OnReleased(bool aDone, TimePoint aNow)
 {
-  mCallOpen = false;
-  mNextCall = aNow + mOptions.mPermissionRetry;
+  mActionPending = false;
+  mNextAction = aNow + mOptions.mPermissionRetry;
   if (aDone && mPermission == Permission::kReleasing) {
     mPermission = Permission::kNone;
   }
@@ -313,7 +319,7 @@
     return;
   }
   mDetector.Reset();
-  mNextCall = aNow;
+  mNextAction = aNow;
   Enter(ServerPhase::kRamping, aNow);
 }
 
@@ -323,10 +329,10 @@
   if (!SetAside()) {
     return GateVerdict::kAdmit;
   }
-  const bool mayTrickle =
-    mPhase == ServerPhase::kProbation && aRepeatable && aNow >= mNextTrickle;
-  if (mayTrickle) {
-    mNextTrickle = aNow + mOptions.mTrickleGap;
+  const bool mayTest = mPhase == ServerPhase::kProbation && aRepeatable &&
+                       aNow >= mNextProbationRequest;
+  if (mayTest) {
+    mNextProbationRequest = aNow + mOptions.mProbationInterval;
     return GateVerdict::kAdmit;
   }
   if (Ejected()) {
@@ -342,7 +348,7 @@
     return kMinRetryAfter;
   }
   return std::max(kMinRetryAfter,
-                  std::chrono::ceil<Millis>(mAsideUntil - aNow));
+                  std::chrono::ceil<Millis>(mRemovedUntil - aNow));
 }
 
 double
@@ -353,9 +359,9 @@
   }
   const double done =
     std::chrono::duration<double>(aNow - mPhaseSince).count() /
-    std::chrono::duration<double>(mOptions.mRamp).count();
-  const double share = mRampFrom + (1.0 - mRampFrom) * done;
-  return std::clamp(share, mRampFrom, 1.0);
+    std::chrono::duration<double>(mOptions.mRampTime).count();
+  const double share = mRampStart + (1.0 - mRampStart) * done;
+  return std::clamp(share, mRampStart, 1.0);
 }
 
 std::optional<PeerHealth>
@@ -364,7 +370,7 @@
   if (SetAside()) {
     return std::nullopt;
   }
-  return PeerHealth{ .mSuspicious = mDetector.Score() >= kPeerSuspicion,
+  return PeerHealth{ .mSuspicious = mDetector.Score() >= kPeerSuspicionScore,
                      .mMedianLatency = mDetector.RecentLatency(),
                      .mSamples = mDetector.Samples() };
 }
--- a/packages/policy/src/Membership.cpp
+++ b/packages/policy/src/Membership.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Places on the ring are unlike those of other uses of the hash.
+// Keeps ring positions independent of other uses of the hash.
 constexpr std::uint64_t kRingSeed = 0x72696e67;
 
 } // namespace
@@ -41,7 +41,7 @@
 {
   auto& self = mMembers[mSelf];
   self.mIncarnation = aIncarnation;
-  MarkNews(self);
+  ScheduleRetransmits(self);
 }
 
 void
@@ -63,9 +63,9 @@
 {
   std::vector<BoxName> unreached;
   for (const auto& [box, member] : mMembers) {
-    const bool gone = member.mState == MemberState::kDead ||
-                      member.mState == MemberState::kLeaving;
-    if (!member.mPathWorks && !gone) {
+    const bool departed = member.mState == MemberState::kDead ||
+                          member.mState == MemberState::kLeaving;
+    if (!member.mPathWorks && !departed) {
       unreached.push_back(box);
     }
   }
@@ -76,13 +76,13 @@
 }
 
 std::vector<BoxName>
-Membership::OthersOf(bool aPresentOnly) const
+Membership::OtherBoxes(bool aLiveOnly) const
 {
   std::vector<BoxName> others;
   for (const auto& [box, member] : mMembers) {
-    const bool gone = member.mState == MemberState::kDead ||
-                      member.mState == MemberState::kLeaving;
-    if (box != mSelf && !(aPresentOnly && gone)) {
+    const bool departed = member.mState == MemberState::kDead ||
+                          member.mState == MemberState::kLeaving;
+    if (box != mSelf && !(aLiveOnly && departed)) {
       others.push_back(box);
     }
   }
@@ -90,13 +90,13 @@
 }
 
 std::vector<BoxName>
-Membership::Neighbours() const
+Membership::Neighbors() const
 {
   const auto place = [](const BoxName& aBox) {
     const auto& name = aBox.Value();
     return std::pair(XXH64(name.data(), name.size(), kRingSeed), name);
   };
-  auto ring = OthersOf(true);
+  auto ring = OtherBoxes(true);
   std::sort(
     ring.begin(), ring.end(), [&](const auto& aLeft, const auto& aRight) {
       return place(aLeft) < place(aRight);
@@ -107,11 +107,11 @@
       return place(aBox) > own;
     });
   const auto first = static_cast<std::size_t>(next - ring.begin());
-  std::vector<BoxName> neighbours;
+  std::vector<BoxName> neighbors;
   for (std::size_t step = 1; step <= ring.size(); step *= 2) {
-    neighbours.push_back(ring[(first + step - 1) % ring.size()]);
+    neighbors.push_back(ring[(first + step - 1) % ring.size()]);
   }
-  return neighbours;
+  return neighbors;
 }
 
 std::optional<BoxName>
@@ -123,14 +123,14 @@
       return box;
     }
   }
-  const bool large = mMembers.size() > mOptions.mAllProbeUpTo;
-  if (large && aRandom % mOptions.mOthersOneIn == 0) {
-    const auto others = OthersOf(false);
-    return others[(aRandom / mOptions.mOthersOneIn) % others.size()];
+  const bool large = mMembers.size() > mOptions.mMaxFullProbingBoxes;
+  if (large && aRandom % mOptions.mRandomProbePeriod == 0) {
+    const auto others = OtherBoxes(false);
+    return others[(aRandom / mOptions.mRandomProbePeriod) % others.size()];
   }
   if (mProbeOrder.empty()) {
-    const auto neighbours = large ? Neighbours() : OthersOf(false);
-    mProbeOrder.assign(neighbours.begin(), neighbours.end());
+    const auto neighbors = large ? Neighbors() : OtherBoxes(false);
+    mProbeOrder.assign(neighbors.begin(), neighbors.end());
     std::mt19937_64 generator(aRandom);
     std::shuffle(mProbeOrder.begin(), mProbeOrder.end(), generator);
   }
@@ -154,35 +154,37 @@
   }
   std::mt19937_64 generator(aRandom);
   std::shuffle(candidates.begin(), candidates.end(), generator);
-  candidates.resize(std::min(candidates.size(), mOptions.mHelpers));
+  candidates.resize(std::min(candidates.size(), mOptions.mIndirectProbes));
   return candidates;
 }
 
 void
-Membership::MarkNews(Member& aMember) const
+Membership::ScheduleRetransmits(Member& aMember) const
 {
   const auto boxes = static_cast<double>(mMembers.size() + 1);
-  aMember.mSpreadLeft =
-    mOptions.mSpreadFactor * static_cast<int>(std::ceil(std::log2(boxes)));
+  aMember.mRetransmitsLeft =
+    mOptions.mRetransmitFactor * static_cast<int>(std::ceil(std::log2(boxes)));
 }
 
 void
-Membership::MarkAlive(const BoxName& aBox, Incarnation aIncarnation, bool aPath)
+Membership::MarkAlive(const BoxName& aBox,
+                      Incarnation aIncarnation,
+                      bool aDirectPath)
 {
   const auto it = mMembers.find(aBox);
   if (it == mMembers.end()) {
     return;
   }
   auto& member = it->second;
-  member.mPathWorks = aPath;
+  member.mPathWorks = aDirectPath;
   if (aIncarnation != member.mIncarnation) {
-    // An answer is newer than any gossip: this life is the present one.
+    // A direct answer is newer than any gossip, so this incarnation is current.
     member.mIncarnation = aIncarnation;
     member.mRefutation = 0;
     member.mState = MemberState::kAlive;
-    MarkNews(member);
+    ScheduleRetransmits(member);
   } else if (member.mState == MemberState::kSuspect) {
-    // Others stay wrong until the box itself refutes; see Spread.
+    // Others still suspect the box until it refutes; see Spread.
     member.mState = MemberState::kAlive;
   }
 }
@@ -209,7 +211,7 @@
   it->second.mState = MemberState::kSuspect;
   it->second.mSuspectSince = aNow;
   it->second.mPathWorks = false;
-  MarkNews(it->second);
+  ScheduleRetransmits(it->second);
   MarkUrgent(aBox);
 }
 
@@ -220,10 +222,10 @@
 }
 
 std::vector<MemberUpdate>
-Membership::TakeUrgent(std::size_t aMost)
+Membership::TakeUrgent(std::size_t aMaxUpdates)
 {
   std::vector<MemberUpdate> updates;
-  while (!mUrgent.empty() && updates.size() < aMost) {
+  while (!mUrgent.empty() && updates.size() < aMaxUpdates) {
     const auto box = *mUrgent.begin();
     mUrgent.erase(mUrgent.begin());
     if (const auto it = mMembers.find(box); it != mMembers.end()) {
@@ -247,20 +249,21 @@
   if (aUpdate == ToUpdate(mSelf, self)) {
     return;
   }
-  const bool overruling = aUpdate.mIncarnation == self.mIncarnation &&
-                          aUpdate.mRefutation >= self.mRefutation;
-  if (overruling) {
+  const bool overrides = aUpdate.mIncarnation == self.mIncarnation &&
+                         aUpdate.mRefutation >= self.mRefutation;
+  if (overrides) {
     self.mRefutation = aUpdate.mRefutation + 1;
   }
   if (aUpdate.mState != MemberState::kAlive) {
     MarkUrgent(mSelf);
   }
-  // Also against old news: whoever spread it may never have heard the answer.
-  MarkNews(self);
+  // Also answers an outdated update: its sender may have missed the earlier
+  // refutation.
+  ScheduleRetransmits(self);
 }
 
 void
-Membership::Take(const MemberUpdate& aUpdate, TimePoint aNow)
+Membership::Apply(const MemberUpdate& aUpdate, TimePoint aNow)
 {
   if (aUpdate.mBox == mSelf) {
     Refute(aUpdate);
@@ -276,15 +279,15 @@
     MarkUrgent(aUpdate.mBox);
   }
   if (aUpdate.mState == MemberState::kAlive) {
-    // Somebody has reached it since. Whether this box can is for its requests
-    // and its next probe to find out.
+    // Another node has reached the box since. Requests and the next probe show
+    // whether this node can.
     member.mPathWorks = true;
   }
   member.mIncarnation = aUpdate.mIncarnation;
   member.mRefutation = aUpdate.mRefutation;
   member.mState = aUpdate.mState;
   member.mSuspectSince = aNow;
-  MarkNews(member);
+  ScheduleRetransmits(member);
 }
 
 void
@@ -302,7 +305,7 @@
 Membership::OnUpdates(const std::vector<MemberUpdate>& aUpdates, TimePoint aNow)
 {
   for (const auto& update : aUpdates) {
-    Take(update, aNow);
+    Apply(update, aNow);
   }
 }
 
@@ -311,7 +314,7 @@
 {
   auto& self = mMembers[mSelf];
   self.mState = MemberState::kLeaving;
-  MarkNews(self);
+  ScheduleRetransmits(self);
 }
 
 void
@@ -319,9 +322,9 @@
 {
   for (auto& [box, member] : mMembers) {
     if (member.mState == MemberState::kSuspect &&
-        aNow - member.mSuspectSince >= mOptions.mSuspectTime) {
+        aNow - member.mSuspectSince >= mOptions.mSuspicionTimeout) {
       member.mState = MemberState::kDead;
-      MarkNews(member);
+      ScheduleRetransmits(member);
     }
   }
 }
@@ -343,22 +346,22 @@
   if (to != mMembers.end() && to->second.mState != MemberState::kAlive) {
     updates.push_back(ToUpdate(aTo, to->second));
   }
-  // The least spread news first.
-  std::vector<std::map<BoxName, Member>::iterator> news;
+  // Updates with the most retransmits left first.
+  std::vector<std::map<BoxName, Member>::iterator> queued;
   for (auto it = mMembers.begin(); it != mMembers.end(); ++it) {
-    if (it->second.mSpreadLeft > 0 && it->first != aTo) {
-      news.push_back(it);
+    if (it->second.mRetransmitsLeft > 0 && it->first != aTo) {
+      queued.push_back(it);
     }
   }
-  std::stable_sort(news.begin(), news.end(), [](auto aLeft, auto aRight) {
-    return aLeft->second.mSpreadLeft > aRight->second.mSpreadLeft;
+  std::stable_sort(queued.begin(), queued.end(), [](auto aLeft, auto aRight) {
+    return aLeft->second.mRetransmitsLeft > aRight->second.mRetransmitsLeft;
   });
-  for (const auto& it : news) {
+  for (const auto& it : queued) {
     if (updates.size() >= mOptions.mUpdatesPerMessage) {
       break;
     }
     updates.push_back(ToUpdate(it->first, it->second));
-    --it->second.mSpreadLeft;
+    --it->second.mRetransmitsLeft;
   }
   return updates;
 }
@@ -371,7 +374,7 @@
 }
 
 Incarnation
-Membership::LifeOf(const BoxName& aBox) const
+Membership::IncarnationOf(const BoxName& aBox) const
 {
   const auto it = mMembers.find(aBox);
   return it == mMembers.end() ? Incarnation() : it->second.mIncarnation;
@@ -385,7 +388,7 @@
 }
 
 bool
-Membership::WorthSending(const BoxName& aBox) const
+Membership::IsRoutable(const BoxName& aBox) const
 {
   return StateOf(aBox) == MemberState::kAlive && PathWorks(aBox);
 }
--- a/packages/policy/src/RouteTimes.cpp
+++ b/packages/policy/src/RouteTimes.cpp
@@ -4,18 +4,18 @@
 
 namespace {
 
-// One service has 20 routes in the mean at the target size.
+// Limits memory; a service has 20 routes on average at the target size.
 constexpr std::size_t kMaxRoutes = 128;
-// Fewer answers of a route say too little about its rare ones.
+// Fewer samples of a route say too little about its slowest requests.
 constexpr int kMinSamples = 5;
-constexpr double kNinthDecile = 1.2816; // sigmas above the median
+constexpr double kNinetiethPercentileSigmas = 1.2816; // above the median
 
 } // namespace
 
 void
 RouteTimes::Observe(const std::string& aRoute, Micros aTime)
 {
-  mOthers.Observe(aTime);
+  mAllRoutes.Observe(aTime);
   if (mRoutes.size() < kMaxRoutes || mRoutes.contains(aRoute)) {
     mRoutes[aRoute].Observe(aTime);
   }
@@ -26,7 +26,7 @@
 {
   const auto it = mRoutes.find(aRoute);
   const bool known = it != mRoutes.end() && it->second.Samples() >= kMinSamples;
-  return known ? it->second : mOthers;
+  return known ? it->second : mAllRoutes;
 }
 
 double
@@ -39,7 +39,9 @@
 RouteTimes::UsualTime(const std::string& aRoute) const
 {
   const auto& model = ModelOf(aRoute);
-  return model.Samples() < kMinSamples ? Micros(0) : model.TimeAt(kNinthDecile);
+  return model.Samples() < kMinSamples
+           ? Micros(0)
+           : model.TimeAt(kNinetiethPercentileSigmas);
 }
 
 } // namespace porttiller
--- a/packages/policy/src/SilenceDetector.cpp
+++ b/packages/policy/src/SilenceDetector.cpp
@@ -27,7 +27,7 @@
 {
   mRequests.push_back(
     { .mAttempt = aAttempt, .mRoute = aRoute, .mStarted = aNow });
-  if (mRequests.size() > mOptions.mMemory) {
+  if (mRequests.size() > mOptions.mMaxRequests) {
     mRequests.pop_front();
   }
 }
@@ -36,7 +36,7 @@
 SilenceDetector::OnAnswered(const AttemptId& aAttempt)
 {
   if (auto* request = Find(aAttempt)) {
-    request->mFate = Fate::kAnswered;
+    request->mState = RequestState::kAnswered;
   }
 }
 
@@ -44,7 +44,7 @@
 SilenceDetector::OnGivenUp(const AttemptId& aAttempt, TimePoint aNow)
 {
   if (auto* request = Find(aAttempt)) {
-    request->mFate = Fate::kGivenUp;
+    request->mState = RequestState::kAbandoned;
     request->mEnded = aNow;
   }
 }
@@ -58,17 +58,18 @@
 }
 
 double
-SilenceDetector::Evidence(const Request& aRequest,
-                          const SurvivalOf& aSurvival,
-                          TimePoint aNow) const
+SilenceDetector::LogLikelihoodRatio(const Request& aRequest,
+                                    const SurvivalOf& aSurvival,
+                                    TimePoint aNow) const
 {
-  const double answered = 1.0 - mOptions.mHangingShare;
-  if (aRequest.mFate == Fate::kAnswered) {
+  const double answered = 1.0 - mOptions.mUnansweredShare;
+  if (aRequest.mState == RequestState::kAnswered) {
     return std::log(answered);
   }
-  const auto until = aRequest.mFate == Fate::kRunning ? aNow : aRequest.mEnded;
+  const auto until =
+    aRequest.mState == RequestState::kRunning ? aNow : aRequest.mEnded;
   const auto survival = aSurvival(aRequest.mRoute, until - aRequest.mStarted);
-  return std::log(answered + mOptions.mHangingShare / survival);
+  return std::log(answered + mOptions.mUnansweredShare / survival);
 }
 
 double
@@ -76,8 +77,8 @@
 {
   double score = 0.0;
   for (const auto& request : mRequests) {
-    score += Evidence(request, aSurvival, aNow);
-    score = std::clamp(score, 0.0, mOptions.mCeiling);
+    score += LogLikelihoodRatio(request, aSurvival, aNow);
+    score = std::clamp(score, 0.0, mOptions.mMaxScore);
   }
   return score;
 }
--- a/packages/policy/src/Spread.cpp
+++ b/packages/policy/src/Spread.cpp
@@ -21,9 +21,9 @@
   std::vector<std::size_t> receivers;
   for (const auto index : order) {
     const auto& zone = aZones[index];
-    const auto most =
+    const auto limit =
       zone == aOwnZone ? aOptions.mOwnZone : aOptions.mPerOtherZone;
-    if (taken[zone] < most) {
+    if (taken[zone] < limit) {
       ++taken[zone];
       receivers.push_back(index);
     }
--- a/packages/policy/src/WatchTurns.cpp
+++ b/packages/policy/src/WatchTurns.cpp
@@ -14,7 +14,7 @@
 {
   const bool moved = mPlace != aPlace;
   mPlace = aPlace;
-  const bool first = std::exchange(mFirst, false) || moved;
+  const bool first = std::exchange(mFirstWait, false) || moved;
   const auto steps = first ? aPlace.mRank + 1 : aPlace.mCount;
   return mOptions.mStep * static_cast<Millis::rep>(steps);
 }
--- a/packages/policy/tests/BatcherTest.cpp
+++ b/packages/policy/tests/BatcherTest.cpp
@@ -15,9 +15,10 @@
 
 } // namespace
 
-TEST_CASE("A change after a rest passes at once, those behind it together")
+TEST_CASE("A change after an idle period is processed at once, the next ones "
+          "as a batch")
 {
-  Batcher batcher({ .mGap = Millis(200) });
+  Batcher batcher({ .mMinInterval = Millis(200) });
   CHECK(batcher.OnChange(kStart) == Millis(0));
   batcher.OnBatch(kStart);
   CHECK(batcher.OnChange(kStart + Millis(50)) == Millis(150));
@@ -26,38 +27,38 @@
   CHECK(batcher.OnChange(kStart + Millis(900)) == Millis(0));
 }
 
-TEST_CASE("Batches that take long leave nine tenths of the time to others")
+TEST_CASE("Slow batches leave nine tenths of the time to other work")
 {
-  constexpr Millis kCost{ 60 };
-  constexpr Millis kChangeEvery{ 5 };
-  constexpr Millis kLength{ 20'000 };
+  constexpr Millis kBatchTime{ 60 };
+  constexpr Millis kChangeInterval{ 5 };
+  constexpr Millis kDuration{ 20'000 };
   Batcher batcher;
   Millis inBatches{ 0 };
   TimePoint due;
-  bool planned = false;
-  for (auto now = kStart; now < kStart + kLength; now += kChangeEvery) {
+  bool scheduled = false;
+  for (auto now = kStart; now < kStart + kDuration; now += kChangeInterval) {
     if (const auto delay = batcher.OnChange(now)) {
       due = now + *delay;
-      planned = true;
+      scheduled = true;
     }
-    if (planned && now >= due) {
-      planned = false;
+    if (scheduled && now >= due) {
+      scheduled = false;
       batcher.OnBatch(now);
-      batcher.OnBatchDone(now + kCost);
-      inBatches += kCost;
+      batcher.OnBatchDone(now + kBatchTime);
+      inBatches += kBatchTime;
     }
   }
-  CHECK(inBatches <= kLength / 10 + kCost);
+  CHECK(inBatches <= kDuration / 10 + kBatchTime);
 }
 
-TEST_CASE("However long batches take, the next one comes within a second")
+TEST_CASE("The next batch comes within a second, however slow batches are")
 {
   Batcher batcher;
   CHECK(batcher.OnChange(kStart) == Millis(0));
   batcher.OnBatch(kStart);
   batcher.OnBatchDone(kStart + Millis(400));
   CHECK(batcher.OnChange(kStart + Millis(401)) == Millis(599));
-  // Cheap ones come as often as before.
+  // Cheap batches are back at the minimum interval.
   batcher.OnBatch(kStart + Millis(1000));
   batcher.OnBatchDone(kStart + Millis(1003));
   CHECK(batcher.OnChange(kStart + Millis(1003)) == Millis(197));
@@ -66,50 +67,53 @@
 namespace {
 
 constexpr int kZones = 5;
-constexpr int kTripMs = 3;
+constexpr int kHopMs = 3;
 constexpr int kStartSpreadMs = 3000; // boxes become known over this time
 
-struct StartCounts
+struct FleetStartCounts
 {
-  double mMessages = 0.0; // that a box sends, mean
-  double mRebuilds = 0.0; // of its view, mean
-  double mKnown = 0.0;    // share of the records that a box holds, mean
+  double mMessages = 0.0;   // sent by a box, mean
+  double mRebuilds = 0.0;   // of a box's view, mean
+  double mKnownShare = 0.0; // share of the records that a box holds, mean
 };
 
-// All boxes of a fleet start; each has one record and tells it onwards.
-// Batched with aGap, or one by one when it is zero.
-class StartOfAll
+// A fleet in which all boxes start; each has one record and sends it to others.
+// Changes are batched with aBatchInterval, or processed one by one if it is
+// zero.
+class FleetStartSimulation
 {
 public:
-  StartOfAll(int aBoxes, Millis aGap)
+  FleetStartSimulation(int aBoxes, Millis aBatchInterval)
     : mBoxes(aBoxes)
-    , mGap(aGap)
+    , mBatchInterval(aBatchInterval)
     , mRandom(7)
   {
     for (int i = 0; i < aBoxes; ++i) {
       mZones.emplace_back("zone-" + std::to_string(i % kZones));
-      mNodes.push_back({ .mBatcher = Batcher({ .mGap = aGap }) });
-      mNodes.back().mHeld.resize(static_cast<std::size_t>(aBoxes));
-      At(static_cast<int>(mRandom() % kStartSpreadMs), i, { i }, true);
+      mNodes.push_back(
+        { .mBatcher = Batcher({ .mMinInterval = aBatchInterval }) });
+      mNodes.back().mKnownRecords.resize(static_cast<std::size_t>(aBoxes));
+      Schedule(static_cast<int>(mRandom() % kStartSpreadMs), i, { i }, true);
     }
   }
 
-  StartCounts Run()
+  FleetStartCounts Run()
   {
     while (!mEvents.empty()) {
       const auto event = mEvents.top();
       mEvents.pop();
       mNowMs = event.mAtMs;
       if (event.mRecords.empty()) {
-        PassOn(event.mBox);
+        FlushBatch(event.mBox);
       } else {
-        Take(event);
+        Receive(event);
       }
     }
-    StartCounts counts;
+    FleetStartCounts counts;
     for (const auto& node : mNodes) {
-      const auto held = std::count(node.mHeld.begin(), node.mHeld.end(), true);
-      counts.mKnown += static_cast<double>(held) / mBoxes / mBoxes;
+      const auto held =
+        std::count(node.mKnownRecords.begin(), node.mKnownRecords.end(), true);
+      counts.mKnownShare += static_cast<double>(held) / mBoxes / mBoxes;
       counts.mMessages += static_cast<double>(node.mSent) / mBoxes;
       counts.mRebuilds += static_cast<double>(node.mRebuilds) / mBoxes;
     }
@@ -120,8 +124,8 @@
   struct Node
   {
     Batcher mBatcher;
-    std::vector<bool> mHeld;
-    std::vector<int> mOnwards;
+    std::vector<bool> mKnownRecords;
+    std::vector<int> mToForward;
     int mSent = 0;
     int mRebuilds = 0;
   };
@@ -131,8 +135,8 @@
     int mAtMs = 0;
     int mOrder = 0;
     int mBox = 0;
-    std::vector<int> mRecords; // none: the box's batch is due
-    bool mOwn = false;
+    std::vector<int> mRecords; // empty: the batch of the box is due
+    bool mOwnRecord = false;
 
     bool operator<(const Event& aOther) const
     {
@@ -142,58 +146,61 @@
 
   TimePoint Time() const { return kStart + Millis(mNowMs); }
 
-  void At(int aMs, int aBox, std::vector<int> aRecords, bool aOwn = false)
+  void Schedule(int aMs,
+                int aBox,
+                std::vector<int> aRecords,
+                bool aOwnRecord = false)
   {
-    mEvents.push({ aMs, mOrder++, aBox, std::move(aRecords), aOwn });
+    mEvents.push({ aMs, mOrder++, aBox, std::move(aRecords), aOwnRecord });
   }
 
-  void Tell(int aFrom, const std::vector<int>& aRecords, SpreadOptions aSpread)
+  void Send(int aFrom, const std::vector<int>& aRecords, SpreadOptions aSpread)
   {
     const auto& zone = mZones[static_cast<std::size_t>(aFrom)];
     for (const auto to : ChooseReceivers(mZones, zone, aSpread, mRandom())) {
       ++mNodes[static_cast<std::size_t>(aFrom)].mSent;
-      At(mNowMs + kTripMs, static_cast<int>(to), aRecords);
+      Schedule(mNowMs + kHopMs, static_cast<int>(to), aRecords);
     }
   }
 
-  void Take(const Event& aEvent)
+  void Receive(const Event& aEvent)
   {
     auto& node = mNodes[static_cast<std::size_t>(aEvent.mBox)];
-    bool news = false;
+    bool changed = false;
     for (const auto record : aEvent.mRecords) {
-      if (!node.mHeld[static_cast<std::size_t>(record)]) {
-        node.mHeld[static_cast<std::size_t>(record)] = true;
-        news = true;
-        if (!aEvent.mOwn) {
-          node.mOnwards.push_back(record);
+      if (!node.mKnownRecords[static_cast<std::size_t>(record)]) {
+        node.mKnownRecords[static_cast<std::size_t>(record)] = true;
+        changed = true;
+        if (!aEvent.mOwnRecord) {
+          node.mToForward.push_back(record);
         }
       }
     }
-    if (aEvent.mOwn) {
-      Tell(aEvent.mBox, aEvent.mRecords, { .mOwnZone = 3, .mPerOtherZone = 2 });
+    if (aEvent.mOwnRecord) {
+      Send(aEvent.mBox, aEvent.mRecords, { .mOwnZone = 3, .mPerOtherZone = 2 });
     }
-    if (!news) {
+    if (!changed) {
       return;
     }
-    if (mGap == Millis(0)) {
-      PassOn(aEvent.mBox);
+    if (mBatchInterval == Millis(0)) {
+      FlushBatch(aEvent.mBox);
     } else if (const auto delay = node.mBatcher.OnChange(Time())) {
-      At(mNowMs + static_cast<int>(delay->count()), aEvent.mBox, {});
+      Schedule(mNowMs + static_cast<int>(delay->count()), aEvent.mBox, {});
     }
   }
 
-  void PassOn(int aBox)
+  void FlushBatch(int aBox)
   {
     auto& node = mNodes[static_cast<std::size_t>(aBox)];
     node.mBatcher.OnBatch(Time());
     ++node.mRebuilds;
-    if (!node.mOnwards.empty()) {
-      Tell(aBox, std::exchange(node.mOnwards, {}), { .mOwnZone = 3 });
+    if (!node.mToForward.empty()) {
+      Send(aBox, std::exchange(node.mToForward, {}), { .mOwnZone = 3 });
     }
   }
 
   const int mBoxes;
-  const Millis mGap;
+  const Millis mBatchInterval;
   std::mt19937_64 mRandom;
   std::vector<AvailabilityZone> mZones;
   std::vector<Node> mNodes;
@@ -209,17 +216,18 @@
 {
   for (const int boxes : { 300, 600 }) {
     CAPTURE(boxes);
-    const auto batched = StartOfAll(boxes, BatcherOptions{}.mGap).Run();
-    // Three seconds hold 15 gaps; the last records need a few more.
+    const auto batched =
+      FleetStartSimulation(boxes, BatcherOptions{}.mMinInterval).Run();
+    // Three seconds hold 15 intervals; the last records need a few more.
     CHECK(batched.mRebuilds <= 25);
     CHECK(batched.mMessages <= 100);
-    CHECK(batched.mKnown >= 0.9); // digests find the rest
+    CHECK(batched.mKnownShare >= 0.9); // digests find the rest
   }
 }
 
-TEST_CASE("One by one, the same start costs each box a share of the fleet")
+TEST_CASE("Without batches the same start costs each box a share of the fleet")
 {
-  const auto single = StartOfAll(300, Millis(0)).Run();
+  const auto single = FleetStartSimulation(300, Millis(0)).Run();
   CHECK(single.mRebuilds >= 250);
   CHECK(single.mMessages >= 750);
 }
--- a/packages/policy/tests/CatchUpTest.cpp
+++ b/packages/policy/tests/CatchUpTest.cpp
@@ -8,7 +8,7 @@
 
 using Peers = std::vector<std::string>;
 
-TEST_CASE("What a peer announces while it is asked is asked for afterwards")
+TEST_CASE("A revision announced during a request is asked for afterwards")
 {
   CatchUp catchUp;
   catchUp.OnHeard("a", 5);
@@ -21,20 +21,21 @@
   CHECK(catchUp.Next(6).empty());
 }
 
-TEST_CASE("A delta that another one has overtaken is asked for again")
+TEST_CASE("A revision is asked for again if its delta no longer applies")
 {
   CatchUp catchUp;
   catchUp.OnHeard("a", 5);
   catchUp.OnHeard("b", 6);
   REQUIRE(catchUp.Next(1) == Peers{ "b", "a" });
   catchUp.OnEnded("a", true, 5);
-  catchUp.OnEnded("b", true, 5); // it was of revision 1, and did not join
+  // The delta of b starts at revision 1 and does not apply.
+  catchUp.OnEnded("b", true, 5);
   CHECK(catchUp.Next(5) == Peers{ "b" });
 }
 
-TEST_CASE("A peer that does not answer keeps no other one from being asked")
+TEST_CASE("A peer that does not answer does not keep others from being asked")
 {
-  CatchUp catchUp({ .mMaxOpen = 2 });
+  CatchUp catchUp({ .mMaxPending = 2 });
   catchUp.OnHeard("silent", 9);
   catchUp.OnHeard("a", 5);
   catchUp.OnHeard("b", 4);
@@ -44,7 +45,7 @@
   CHECK(catchUp.Next(1) == Peers{ "b" });
 }
 
-TEST_CASE("A peer whose answers do not help is not asked for ever")
+TEST_CASE("A peer whose answers make no progress is not asked forever")
 {
   CatchUp catchUp;
   catchUp.OnHeard("a", 5);
@@ -56,9 +57,10 @@
   CHECK(asked == 2);
 }
 
-TEST_CASE("Of many peers that are ahead the furthest are remembered")
+TEST_CASE(
+  "Of many peers that are ahead, those with the newest revisions are kept")
 {
-  CatchUp catchUp({ .mMaxOpen = 2, .mMaxKnown = 2 });
+  CatchUp catchUp({ .mMaxPending = 2, .mMaxCandidates = 2 });
   for (std::uint64_t i = 1; i <= 100; ++i) {
     catchUp.OnHeard(std::to_string(i), i);
   }
@@ -66,13 +68,13 @@
   CHECK(catchUp.Next(0) == Peers{ "100", "99" });
 }
 
-TEST_CASE("A node catches up by questions alone while changes go on")
+TEST_CASE("A node catches up by its requests alone while changes go on")
 {
-  // Peers answer with what they held when they were asked, in any order, some
-  // not at all; one that holds the newest goes on announcing it until it has
-  // been asked, as probes do.
+  // Peers answer in any order, or not at all, with the revision that they held
+  // when asked. A peer with the newest revision announces it until it is asked,
+  // as probes do.
   rc::check([] {
-    struct Question
+    struct Request
     {
       std::string mPeer;
       std::uint64_t mFrom = 0;
@@ -81,34 +83,34 @@
     CatchUp catchUp;
     std::uint64_t newest = 1;
     std::uint64_t held = 1;
-    std::vector<Question> open;
-    const auto ask = [&] {
+    std::vector<Request> pending;
+    const auto sendRequests = [&] {
       for (const auto& peer : catchUp.Next(held)) {
-        open.push_back({ peer, held, newest });
+        pending.push_back({ peer, held, newest });
       }
     };
     const auto answer = [&](std::size_t aIndex, bool aAnswered) {
-      const auto question = open[aIndex];
-      open.erase(open.begin() + static_cast<std::ptrdiff_t>(aIndex));
-      // A delta of a document joins only at the revision it was asked from.
-      if (aAnswered && question.mFrom == held) {
-        held = question.mTo;
+      const auto request = pending[aIndex];
+      pending.erase(pending.begin() + static_cast<std::ptrdiff_t>(aIndex));
+      // A delta applies only to the revision that it starts at.
+      if (aAnswered && request.mFrom == held) {
+        held = request.mTo;
       }
-      catchUp.OnEnded(question.mPeer, aAnswered, held);
-      ask();
+      catchUp.OnEnded(request.mPeer, aAnswered, held);
+      sendRequests();
     };
     for (const auto step :
          *rc::gen::container<std::vector<int>>(80, rc::gen::inRange(0, 8))) {
       if (step < 4) {
         catchUp.OnHeard("peer-" + std::to_string(step), ++newest);
-        ask();
-      } else if (!open.empty()) {
-        answer(static_cast<std::size_t>(step) % open.size(), step != 7);
+        sendRequests();
+      } else if (!pending.empty()) {
+        answer(static_cast<std::size_t>(step) % pending.size(), step != 7);
       }
     }
     catchUp.OnHeard("peer-0", newest);
-    ask();
-    while (!open.empty()) {
+    sendRequests();
+    while (!pending.empty()) {
       answer(0, true);
     }
     RC_ASSERT(held == newest);
--- a/packages/policy/tests/CircuitBreakerTest.cpp
+++ b/packages/policy/tests/CircuitBreakerTest.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double kFew = 0.01; // errors of a healthy service
+constexpr double kFewErrors = 0.01; // error share of a healthy service
 const TimePoint kStart{ Millis(1000) };
 
 } // namespace
 
-TEST_CASE("One lost answer closes the way for requests that may run once")
+TEST_CASE("One lost answer stops requests that are not repeatable")
 {
   CircuitBreaker breaker;
   CHECK(breaker.Admit(false, false, kStart));
@@ -21,10 +21,11 @@
   CHECK(breaker.Admit(false, true, kStart));
 }
 
-TEST_CASE("Trials are repeatable requests, rarer with each that fails")
+TEST_CASE(
+  "Trials are repeatable requests, at longer intervals after each failed one")
 {
   CircuitBreaker breaker(
-    { .mTrialGap = Millis(100), .mMaxTrialGap = Millis(400) });
+    { .mTrialInterval = Millis(100), .mMaxTrialInterval = Millis(400) });
   breaker.OnFailure(kStart);
   CHECK_FALSE(breaker.Admit(true, false, kStart + Millis(99)));
   CHECK(breaker.Admit(true, false, kStart + Millis(100)));
@@ -37,7 +38,8 @@
   CHECK(breaker.RetryAfter(kStart + Millis(200)) == Millis(400));
 }
 
-TEST_CASE("Successes in a row open the way again, one failure between them not")
+TEST_CASE("Consecutive successes close the breaker; a failure between them "
+          "starts the count again")
 {
   CircuitBreaker breaker({ .mSuccessesToClose = 2 });
   breaker.OnFailure(kStart);
@@ -50,9 +52,10 @@
   CHECK(breaker.Admit(false, false, kStart));
 }
 
-TEST_CASE("Where nothing may be repeated, a rare request is the trial")
+TEST_CASE(
+  "Without repeatable requests, an occasional other request is the trial")
 {
-  // Not within a usual spell of failures, where it would be lost.
+  // Not during an outage of the usual length, where it would be lost.
   CircuitBreaker breaker;
   breaker.OnFailure(kStart);
   CHECK_FALSE(breaker.Admit(false, false, kStart + Millis(9'999)));
@@ -60,24 +63,25 @@
   CHECK_FALSE(breaker.Admit(false, false, kStart + Millis(10'001)));
 }
 
-TEST_CASE("Two errors among six answers close the way, one does not")
+TEST_CASE("Two errors among six answers open the breaker, one does not")
 {
-  // Errors of a healthy server are spread thinly: a second one soon after the
-  // first tells of a spell, and waiting for a third costs one more request.
+  // Errors of a healthy server are far apart: a second one soon after the first
+  // indicates an outage, and waiting for a third costs one more request.
   CircuitBreaker breaker;
-  CHECK_FALSE(breaker.OnError(kFew, kStart));
+  CHECK_FALSE(breaker.OnError(kFewErrors, kStart));
   for (int i = 0; i < 6; ++i) {
     breaker.OnSuccess(kStart);
   }
-  CHECK_FALSE(breaker.OnError(kFew, kStart));
+  CHECK_FALSE(breaker.OnError(kFewErrors, kStart));
   for (int i = 0; i < 4; ++i) {
     breaker.OnSuccess(kStart);
   }
-  CHECK(breaker.OnError(kFew, kStart));
+  CHECK(breaker.OnError(kFewErrors, kStart));
   CHECK(breaker.State() == BreakerState::kHalfOpen);
 }
 
-TEST_CASE("An answer to what was sent before the failure closes nothing")
+TEST_CASE(
+  "An answer to a request from before the failure does not close the breaker")
 {
   CircuitBreaker breaker({ .mSuccessesToClose = 1 });
   breaker.OnFailure(kStart);
@@ -86,12 +90,12 @@
   CHECK(breaker.OnSuccess(kStart + Millis(1)));
 }
 
-TEST_CASE("Errors that every server answers close none of them")
+TEST_CASE("Errors that every server returns open no breaker")
 {
-  constexpr double kMany = 0.4;
+  constexpr double kManyErrors = 0.4;
   CircuitBreaker breaker;
   for (int i = 0; i < 5; ++i) {
-    CHECK_FALSE(breaker.OnError(kMany, kStart));
+    CHECK_FALSE(breaker.OnError(kManyErrors, kStart));
   }
   CHECK(breaker.State() == BreakerState::kClosed);
 }
--- a/packages/policy/tests/DetectorTest.cpp
+++ b/packages/policy/tests/DetectorTest.cpp
@@ -7,35 +7,37 @@
 
 namespace {
 
-constexpr Millis kGap{ 59 }; // 17 requests a second
+constexpr Millis kRequestInterval{ 59 }; // 17 requests per second
 
-// Requests until the alarm, at most aMost.
+// Returns the number of requests until the alarm, or aMaxRequests + 1 if there
+// is none.
 template<typename Draw>
 int
-RequestsToAlarm(Detector& aDetector, int aMost, Draw aDraw)
+RequestsToAlarm(Detector& aDetector, int aMaxRequests, Draw aDraw)
 {
-  for (int i = 1; i <= aMost; ++i) {
-    aDetector.Observe(aDraw(), true, TimePoint(i * kGap));
+  for (int i = 1; i <= aMaxRequests; ++i) {
+    aDetector.Observe(aDraw(), true, TimePoint(i * kRequestInterval));
     if (aDetector.Suspicious()) {
       return i;
     }
   }
-  return aMost + 1;
+  return aMaxRequests + 1;
 }
 
 Evidence
 Answer(std::mt19937_64& aRandom, double aFailureRate, double aMillis)
 {
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
-  std::lognormal_distribution<double> spread(0.0, 0.4);
+  std::lognormal_distribution<double> latencyFactor(0.0, 0.4);
   return { .mFailed = uniform(aRandom) < aFailureRate,
-           .mLatency =
-             Micros(static_cast<int>(1000 * aMillis * spread(aRandom))) };
+           .mLatency = Micros(
+             static_cast<int>(1000 * aMillis * latencyFactor(aRandom))) };
 }
 
 } // namespace
 
-TEST_CASE("A half-failing server is found within two seconds of 17 a second")
+TEST_CASE("At 17 requests per second a server that fails half of them is "
+          "detected within two seconds")
 {
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     std::mt19937_64 random(seed);
@@ -45,7 +47,7 @@
   }
 }
 
-TEST_CASE("Background errors of one in a thousand raise no alarm")
+TEST_CASE("A background error rate of 0.1 percent raises no alarm")
 {
   for (const double threshold : { 12.0, 24.0 }) {
     std::mt19937_64 random(7);
@@ -56,12 +58,13 @@
   }
 }
 
-TEST_CASE("A server that turns slow is found by its own median")
+TEST_CASE("A server that turns slow is detected against its own median")
 {
   std::mt19937_64 random(3);
   Detector detector({ .mThreshold = 24.0 });
   for (int i = 0; i < 500; ++i) {
-    detector.Observe(Answer(random, 0.0, 10.0), true, TimePoint(i * kGap));
+    detector.Observe(
+      Answer(random, 0.0, 10.0), true, TimePoint(i * kRequestInterval));
   }
   CHECK_FALSE(detector.Suspicious());
   CHECK(RequestsToAlarm(
@@ -70,7 +73,8 @@
   CHECK(detector.RecentLatency() > 4 * detector.MedianLatency());
 }
 
-TEST_CASE("One failing kind of calls in ten is found by its own sum")
+TEST_CASE(
+  "A failure of one request class in ten is detected by the sum of that class")
 {
   std::mt19937_64 random(5);
   Detector detector({ .mThreshold = 24.0 });
--- a/packages/policy/tests/EjectionLedgerTest.cpp
+++ b/packages/policy/tests/EjectionLedgerTest.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 LedgerEntry
-Entry(int aIndex, std::uint64_t aLife = 1)
+Entry(int aIndex, std::uint64_t aIncarnation = 1)
 {
   return { .mServer = BackendServerName("s" + std::to_string(aIndex)),
            .mBox = BoxName("b" + std::to_string(aIndex)),
-           .mIncarnation = Incarnation(aLife),
+           .mIncarnation = Incarnation(aIncarnation),
            .mSlots = 3 };
 }
 
@@ -30,7 +30,7 @@
   return view;
 }
 
-// The ledger object at the platform, and writes to it that are on their way.
+// The ledger object at the platform and the writes to it that are in flight.
 class Store
 {
 public:
@@ -52,10 +52,10 @@
 
   EjectionLedger mLedger;
   std::uint64_t mVersion = 1;
-  std::vector<Write> mOnTheWay; // may still arrive, or never
+  std::vector<Write> mInFlight; // may still arrive, or never
 };
 
-// One home with one server, as the daemon drives the policy library.
+// One home with one server; calls the policy library as the daemon does.
 class FakeHome
 {
 public:
@@ -67,12 +67,12 @@
 
   void Restart(TimePoint aNow)
   {
-    ++mLife;
+    ++mIncarnation;
     mMachine = std::make_unique<EjectionMachine>(
-      EjectionOptions{ .mActAlone = true,
+      EjectionOptions{ .mDemoteWithoutPeers = true,
                        .mConfirmingPolls = 1,
-                       .mFirstAside = Millis(20'000),
-                       .mRamp = Millis(200) },
+                       .mBaseRemovalTime = Millis(20'000),
+                       .mRampTime = Millis(200) },
       aNow);
   }
 
@@ -89,8 +89,10 @@
     }
   }
 
-  // Kept apart from Tick, so that it cannot hide an ejection too many.
-  void Heal(const Store& aStore, const CapacityView& aView, TimePoint aNow)
+  // Separate from Tick, so that it cannot hide an ejection beyond the floor.
+  void EnforceFloor(const Store& aStore,
+                    const CapacityView& aView,
+                    TimePoint aNow)
   {
     for (const auto& entry : aStore.mLedger.Excess(aView)) {
       if (entry.mServer == Entry(mIndex).mServer) {
@@ -100,22 +102,22 @@
   }
 
   int mIndex;
-  std::uint64_t mLife = 0;
+  std::uint64_t mIncarnation = 0;
   std::unique_ptr<EjectionMachine> mMachine;
 
 private:
-  // What became of a write, as the writer can know it.
+  // Returns the outcome of the write as far as the writer knows it.
   std::optional<bool> Write(Store& aStore, const EjectionLedger& aNext)
   {
     const Store::Write write{ aStore.mVersion, aNext };
     switch (Draw(0, 5)) {
-      case 0: // on its way, answer lost, reading back shows nothing yet
-        aStore.mOnTheWay.push_back(write);
+      case 0: // in flight; answer lost, and reading back shows no change yet
+        aStore.mInFlight.push_back(write);
         return std::nullopt;
-      case 1: // takes effect, answer lost, reading back fails too
+      case 1: // takes effect; answer lost, and reading back fails too
         aStore.Apply(write);
         return std::nullopt;
-      case 2: // the platform is away
+      case 2: // the platform is unavailable
         return std::nullopt;
       default:
         return aStore.Apply(write);
@@ -124,7 +126,7 @@
 
   PermissionAnswer Request(Store& aStore, const CapacityView& aView)
   {
-    const auto own = Entry(mIndex, mLife);
+    const auto own = Entry(mIndex, mIncarnation);
     const auto clean =
       aStore.mLedger.WithoutEarlierLives(own.mBox, own.mIncarnation);
     const auto next = clean.WithEjection(own, aView);
@@ -185,10 +187,10 @@
         home.Restart(aNow);
       }
       break;
-    case 1: // a late write arrives
-      if (!aStore.mOnTheWay.empty()) {
-        aStore.Apply(aStore.mOnTheWay.front());
-        aStore.mOnTheWay.erase(aStore.mOnTheWay.begin());
+    case 1: // a delayed write arrives
+      if (!aStore.mInFlight.empty()) {
+        aStore.Apply(aStore.mInFlight.front());
+        aStore.mInFlight.erase(aStore.mInFlight.begin());
       }
       break;
     case 2:
@@ -200,7 +202,7 @@
         home.mMachine->OnEvidence({ .mFailed = true }, aNow + i * Millis(100));
       }
       break;
-    default: // some homes tick; the others are paused
+    default: // one home ticks; the others are paused
       home.Tick(aStore, aView, aNow);
       break;
   }
@@ -208,13 +210,15 @@
 
 } // namespace
 
-TEST_CASE("WithEjection keeps the floor and counts gone servers once")
+TEST_CASE("WithEjection enforces the floor, and an ejected server that dies "
+          "counts once")
 {
   auto view = Capacity(3, 6);
   const auto one = EjectionLedger().WithEjection(Entry(0), view);
   REQUIRE(one.has_value());
   CHECK(one->WithEjection(Entry(1), view).error() == FloorError::kFloor);
-  view.mServers[0].mGone = true; // ejected and gone: no more capacity is lost
+  // Ejected and dead: no further capacity is lost.
+  view.mServers[0].mGone = true;
   CHECK(one->Excess(view).empty());
   view.mServers[2].mGone = true;
   view.mServers[0].mGone = false;
@@ -222,16 +226,18 @@
   CHECK(one->Excess(view)[0] == Entry(0));
 }
 
-TEST_CASE("A new life clears what the box's earlier lives left")
+TEST_CASE(
+  "A new incarnation clears the entries of the box's earlier incarnations")
 {
   const EjectionLedger ledger({ Entry(0, 1), Entry(1, 1) });
   const auto next = ledger.WithoutEarlierLives(BoxName("b0"), Incarnation(2));
   CHECK(next.Entries() == std::vector<LedgerEntry>{ Entry(1, 1) });
 }
 
-TEST_CASE("The union of all homes' ejections leaves the floor")
+TEST_CASE("The ejections of all homes together leave the floor")
 {
-  // Lost, late and doubled writes, pauses, restarts, racing homes.
+  // Includes lost, delayed and duplicate writes, pauses, restarts and
+  // concurrent homes.
   const bool ok = rc::check([] {
     const int floor = Draw(0, kHomes * kSlots + 1);
     const auto view = Capacity(kHomes, floor);
@@ -247,7 +253,8 @@
   CHECK(ok);
 }
 
-TEST_CASE("After boxes die or the floor is raised, servers come back")
+TEST_CASE(
+  "After boxes die or the floor is raised, ejections end until the floor holds")
 {
   const bool ok = rc::check([] {
     auto view = Capacity(kHomes, Draw(0, kHomes * kSlots + 1));
@@ -259,13 +266,13 @@
     }
     const auto dead = Draw<std::size_t>(0, kHomes);
     view.mServers[dead].mGone = true;
-    store.mOnTheWay.clear();
+    store.mInFlight.clear();
     for (int round = 0; round < 100; ++round) {
       now += Millis(100);
       for (auto& home : homes) {
         if (home.mIndex != static_cast<int>(dead)) {
           home.Tick(store, view, now);
-          home.Heal(store, view, now);
+          home.EnforceFloor(store, view, now);
         }
       }
     }
--- a/packages/policy/tests/EjectionMachineTest.cpp
+++ b/packages/policy/tests/EjectionMachineTest.cpp
@@ -7,22 +7,23 @@
 namespace {
 
 constexpr Millis kTick{ 100 };
-const PeerHealth kWell{ .mMedianLatency = Micros(10'000), .mSamples = 100 };
-const PeerHealth kSick{ .mSuspicious = true, .mSamples = 100 };
+const PeerHealth kHealthyPeer{ .mMedianLatency = Micros(10'000),
+                               .mSamples = 100 };
+const PeerHealth kSuspiciousPeer{ .mSuspicious = true, .mSamples = 100 };
 
-// A machine with a clock, past its first ramp.
+// A machine with a clock, after its first ramp-up.
 class Fixture
 {
 public:
   explicit Fixture(EjectionOptions aOptions = {})
     : mMachine(std::move(aOptions), mNow)
   {
-    Pass(Millis(11'000));
+    Advance(Millis(11'000));
     CHECK(mMachine.Phase() == ServerPhase::kHealthy);
   }
 
-  // Ticks on; the last action of each kind is remembered.
-  void Pass(Millis aTime)
+  // Advances the clock by ticks and records which kinds of actions came.
+  void Advance(Millis aTime)
   {
     for (Millis done(0); done < aTime; done += kTick) {
       mNow += kTick;
@@ -39,17 +40,17 @@
   void Observe(bool aFailed, int aCount = 10)
   {
     for (int i = 0; i < aCount; ++i) {
-      mNow += Millis(100); // apart, so that each counts
+      mNow += Millis(100); // spaced so that each counts
       mMachine.OnEvidence({ .mFailed = aFailed, .mLatency = Micros(10'000) },
                           mNow);
     }
   }
 
-  // Waits for the question to other homes and answers it.
+  // Waits until the machine polls other homes and answers the poll.
   void Poll(const std::vector<PeerHealth>& aAnswers, int aOthers = 3)
   {
     mAsked = false;
-    Pass(Millis(300));
+    Advance(Millis(300));
     REQUIRE(mAsked);
     mMachine.OnPeers(aAnswers, aOthers, mNow);
   }
@@ -57,11 +58,11 @@
   void Demote()
   {
     Observe(true);
-    Poll({ kWell, kWell });
+    Poll({ kHealthyPeer, kHealthyPeer });
     REQUIRE(mMachine.Phase() == ServerPhase::kAsking);
-    Poll({ kWell, kWell });
+    Poll({ kHealthyPeer, kHealthyPeer });
     REQUIRE(mMachine.Phase() == ServerPhase::kDemoted);
-    Pass(kTick);
+    Advance(kTick);
     REQUIRE(mRequested);
   }
 
@@ -81,7 +82,7 @@
 
 } // namespace
 
-TEST_CASE("A demoted server serves as the last resort only")
+TEST_CASE("A demoted server serves only as the last resort")
 {
   Fixture f;
   f.Demote();
@@ -96,85 +97,88 @@
   f.Demote();
   f.mMachine.OnPermission(PermissionAnswer::kUnavailable, f.mNow);
   CHECK_FALSE(f.mMachine.Ejected());
-  CHECK(f.mMachine.HoldsPermission()); // an unclear write counts as used
-  f.Pass(Millis(1100));
+  // A write with an unknown outcome counts as held.
+  CHECK(f.mMachine.HoldsPermission());
+  f.Advance(Millis(1100));
   f.mMachine.OnPermission(PermissionAnswer::kGranted, f.mNow);
   CHECK(f.mMachine.Ejected());
   CHECK(f.mMachine.Gate(true, true, f.mNow) == GateVerdict::kEjected);
 }
 
-TEST_CASE("A fault that the other homes see too sets nothing aside")
+TEST_CASE("A fault that other homes see too removes no server from rotation")
 {
   Fixture f;
   f.Observe(true);
-  f.Poll({ kWell, kWell, kWell }); // the others do not see it yet
-  f.Poll({ kSick, kSick, kWell });
-  f.Poll({ kWell, kWell, kWell });
+  // The other homes do not see the fault yet.
+  f.Poll({ kHealthyPeer, kHealthyPeer, kHealthyPeer });
+  f.Poll({ kSuspiciousPeer, kSuspiciousPeer, kHealthyPeer });
+  f.Poll({ kHealthyPeer, kHealthyPeer, kHealthyPeer });
   CHECK(f.mMachine.Phase() == ServerPhase::kAsking);
   CHECK(f.mMachine.Gate(false, false, f.mNow) == GateVerdict::kAdmit);
 }
 
-TEST_CASE("Without an answer from other homes the setting decides")
+TEST_CASE(
+  "Without an answer from other homes the setting decides whether to demote")
 {
   Fixture careful;
   careful.Observe(true);
   careful.Poll({});
   careful.Poll({});
   CHECK(careful.mMachine.Phase() == ServerPhase::kAsking);
-  Fixture fast({ .mActAlone = true });
+  Fixture fast({ .mDemoteWithoutPeers = true });
   fast.Observe(true);
   fast.Poll({});
   fast.Poll({});
   CHECK(fast.mMachine.Phase() == ServerPhase::kDemoted);
 }
 
-TEST_CASE("The only server of a service is never set aside")
+TEST_CASE("The only server of a service stays in rotation")
 {
-  Fixture f({ .mActAlone = true });
+  Fixture f({ .mDemoteWithoutPeers = true });
   f.Observe(true);
   f.Poll({}, 0);
   f.Poll({}, 0);
   CHECK(f.mMachine.Phase() == ServerPhase::kAsking);
 }
 
-TEST_CASE("Probation risks no request that may run only once")
+TEST_CASE("Probation admits no request that is not repeatable")
 {
   Fixture f;
   f.Eject();
-  f.Pass(Millis(3100));
+  f.Advance(Millis(3100));
   REQUIRE(f.mMachine.Phase() == ServerPhase::kProbation);
   CHECK(f.mMachine.Gate(false, false, f.mNow) == GateVerdict::kEjected);
   CHECK(f.mMachine.Gate(true, false, f.mNow) == GateVerdict::kAdmit);
   CHECK(f.mMachine.Gate(true, false, f.mNow) == GateVerdict::kEjected);
 }
 
-TEST_CASE("The permission is given back only after the server works again")
+TEST_CASE("The permission is released only after the server works again")
 {
   Fixture f;
   f.Eject();
-  f.Pass(Millis(3100));
+  f.Advance(Millis(3100));
   CHECK_FALSE(f.mReleased);
   f.Observe(false, 10);
   CHECK(f.mMachine.Phase() == ServerPhase::kRamping);
   CHECK(f.mMachine.SlotShare(f.mNow) < 0.5);
-  f.Pass(kTick);
+  f.Advance(kTick);
   CHECK(f.mReleased);
 }
 
-TEST_CASE("Each strike doubles the time aside")
+TEST_CASE("Each strike doubles the time out of rotation")
 {
   Fixture f;
   f.Eject();
-  f.Pass(Millis(3100));
+  f.Advance(Millis(3100));
   f.Observe(true, 1);
   CHECK(f.mMachine.Phase() == ServerPhase::kEjected);
-  f.Pass(Millis(3100));
+  f.Advance(Millis(3100));
   CHECK(f.mMachine.Phase() == ServerPhase::kEjected);
-  f.Pass(Millis(3000));
+  f.Advance(Millis(3000));
   CHECK(f.mMachine.Phase() == ServerPhase::kProbation);
 }
 
-TEST_CASE("A frozen home drops its ejection before it decides anything")
+TEST_CASE("A home that was frozen ends its ejection before any other decision")
 {
   Fixture f;
   f.Eject();
@@ -184,12 +188,12 @@
   CHECK_FALSE(f.mMachine.Ejected());
 }
 
-TEST_CASE("A broken floor puts the server back to work at once")
+TEST_CASE("A violated floor returns the server to rotation at once")
 {
   Fixture f;
   f.Eject();
   f.mMachine.OnFloorBroken(f.mNow);
   CHECK(f.mMachine.Gate(false, false, f.mNow) == GateVerdict::kAdmit);
-  f.Pass(kTick);
+  f.Advance(kTick);
   CHECK(f.mReleased);
 }
--- a/packages/policy/tests/MembershipTest.cpp
+++ b/packages/policy/tests/MembershipTest.cpp
@@ -20,16 +20,16 @@
 const TimePoint kStart{ Millis(1000) };
 
 Membership
-MakeMember(const BoxName& aSelf, std::uint64_t aLife = 1)
+MakeMember(const BoxName& aSelf, std::uint64_t aIncarnation = 1)
 {
-  Membership member(aSelf, Incarnation(aLife));
+  Membership member(aSelf, Incarnation(aIncarnation));
   member.SetBoxes(kBoxes);
   return member;
 }
 
 } // namespace
 
-TEST_CASE("A box that only others reach stays alive with its path cut")
+TEST_CASE("A box that only other boxes reach stays alive with its path cut")
 {
   auto a = MakeMember(kBoxes[0]);
   a.OnReachedByOthers(kBoxes[1], Incarnation(1));
@@ -39,7 +39,7 @@
   CHECK(a.PathWorks(kBoxes[1]));
 }
 
-TEST_CASE("A suspect that refutes in time is not called dead")
+TEST_CASE("A suspect that refutes in time is not declared dead")
 {
   auto a = MakeMember(kBoxes[0]);
   auto b = MakeMember(kBoxes[1]);
@@ -51,7 +51,8 @@
   CHECK(a.StateOf(kBoxes[1]) == MemberState::kAlive);
 }
 
-TEST_CASE("A silent box is dead after the suspect time, a new life is alive")
+TEST_CASE("An unresponsive box is dead after the suspicion timeout, its new "
+          "incarnation is alive")
 {
   auto a = MakeMember(kBoxes[0]);
   a.OnNotReached(kBoxes[1], kStart);
@@ -64,7 +65,7 @@
   CHECK(a.StateOf(kBoxes[1]) == MemberState::kAlive);
 }
 
-TEST_CASE("A leaving box is no longer live anywhere that heard of it")
+TEST_CASE("A leaving box is not live at any node that received its update")
 {
   auto a = MakeMember(kBoxes[0]);
   auto b = MakeMember(kBoxes[1]);
@@ -73,9 +74,11 @@
   CHECK(a.StateOf(kBoxes[1]) == MemberState::kLeaving);
 }
 
-TEST_CASE("Old news about a box is answered even after its answer was spread")
+TEST_CASE(
+  "A box refutes an outdated update even after its refutation was gossiped")
 {
-  // Found by the fuzzing below: the second asker kept the box dead for ever.
+  // Without the second refutation, a node that missed the first one would keep
+  // the box dead forever.
   auto b = MakeMember(kBoxes[1]);
   const MemberUpdate dead{ .mBox = kBoxes[1],
                            .mIncarnation = Incarnation(1),
@@ -103,18 +106,19 @@
   }
 }
 
-TEST_CASE("Once the network is whole, all agree that the running are alive")
+TEST_CASE(
+  "Once the network is whole, all nodes agree that running boxes are alive")
 {
-  // Lost, late and doubled gossip, false suspicions, restarts.
+  // Includes lost, delayed and duplicate gossip, false suspicions and restarts.
   const bool ok = rc::check([] {
     std::vector<Membership> nodes;
     nodes.reserve(kBoxes.size());
-    std::vector<std::uint64_t> lives(kBoxes.size(), 1);
+    std::vector<std::uint64_t> incarnations(kBoxes.size(), 1);
     for (const auto& box : kBoxes) {
       nodes.push_back(MakeMember(box));
     }
     auto now = kStart;
-    std::vector<std::vector<MemberUpdate>> late;
+    std::vector<std::vector<MemberUpdate>> delayed;
     for (int step = 0; step < 150; ++step) {
       now += Millis(Draw(0, 600));
       const auto from = Draw<std::size_t>(0, nodes.size());
@@ -126,11 +130,12 @@
           }
           break;
         case 1:
-          late.push_back(nodes[from].Spread(kBoxes[to]));
+          delayed.push_back(nodes[from].Spread(kBoxes[to]));
           break;
         case 2:
-          if (!late.empty()) {
-            nodes[to].OnUpdates(late[Draw<std::size_t>(0, late.size())], now);
+          if (!delayed.empty()) {
+            nodes[to].OnUpdates(delayed[Draw<std::size_t>(0, delayed.size())],
+                                now);
           }
           break;
         case 3:
@@ -138,7 +143,7 @@
           break;
         case 4:
           if (Draw(0, 5) == 0) {
-            nodes[from] = MakeMember(kBoxes[from], ++lives[from]);
+            nodes[from] = MakeMember(kBoxes[from], ++incarnations[from]);
           }
           break;
         default:
@@ -151,7 +156,7 @@
         for (std::size_t j = 0; j < nodes.size(); ++j) {
           if (i != j) {
             nodes[j].OnUpdates(nodes[i].Spread(kBoxes[j]), now);
-            nodes[i].OnReached(kBoxes[j], Incarnation(lives[j]));
+            nodes[i].OnReached(kBoxes[j], Incarnation(incarnations[j]));
             nodes[i].OnUpdates(nodes[j].Spread(kBoxes[i]), now);
           }
         }
@@ -160,18 +165,20 @@
     for (const auto& node : nodes) {
       RC_ASSERT(node.LiveBoxes() == kBoxes);
       for (std::size_t j = 0; j < kBoxes.size(); ++j) {
-        RC_ASSERT(node.LifeOf(kBoxes[j]) == Incarnation(lives[j]));
+        RC_ASSERT(node.IncarnationOf(kBoxes[j]) ==
+                  Incarnation(incarnations[j]));
       }
     }
   });
   CHECK(ok);
 }
 
-TEST_CASE("A box that was not reached is used again once others say it lives")
+TEST_CASE(
+  "A box that was not reached is used again once others report it alive")
 {
-  // Found while looking for a broken floor on the grown fleets: whoever had
-  // probed a box in the second it was away kept from it until its own next
-  // probe, which comes once for each box of the fleet.
+  // Otherwise a node that probed a box during a short outage would avoid it
+  // until its own next probe of that box, which comes once per round of all
+  // boxes.
   auto a = MakeMember(kBoxes[0]);
   a.OnReached(kBoxes[1], Incarnation(1));
   a.OnNotReached(kBoxes[1], kStart);
@@ -182,7 +189,7 @@
   CHECK(a.PathWorks(kBoxes[1]));
 }
 
-TEST_CASE("A new life that its record tells of is alive, an old one is not")
+TEST_CASE("A new incarnation in the box's record is alive, an old one is not")
 {
   auto a = MakeMember(kBoxes[0]);
   a.OnReached(kBoxes[1], Incarnation(2));
@@ -213,22 +220,22 @@
   CHECK(probed);
 }
 
-TEST_CASE("Nothing is sent to a suspect while others would take it")
+TEST_CASE("No request goes to a suspect while other boxes would take it")
 {
-  // Found on days with many boxes cut off: requests that may run once were lost
-  // on the way to a box for the three seconds that it had to refute.
+  // Otherwise requests that are not repeatable are lost on the way to a box
+  // that is cut off, for the three seconds that it has to refute.
   auto a = MakeMember(kBoxes[0]);
   a.OnReached(kBoxes[1], Incarnation(1));
-  CHECK(a.WorthSending(kBoxes[1]));
+  CHECK(a.IsRoutable(kBoxes[1]));
   a.OnUpdates({ { .mBox = kBoxes[1],
                   .mIncarnation = Incarnation(1),
                   .mState = MemberState::kSuspect } },
               kStart);
-  CHECK_FALSE(a.WorthSending(kBoxes[1]));
+  CHECK_FALSE(a.IsRoutable(kBoxes[1]));
   a.OnUpdates(
     { { .mBox = kBoxes[1], .mIncarnation = Incarnation(1), .mRefutation = 1 } },
     kStart);
-  CHECK(a.WorthSending(kBoxes[1]));
+  CHECK(a.IsRoutable(kBoxes[1]));
 }
 
 namespace {
@@ -247,10 +254,10 @@
 
 } // namespace
 
-TEST_CASE("In a large fleet a box probes few neighbours, and is probed by few")
+TEST_CASE("In a large fleet a box probes few neighbors and is probed by few")
 {
-  // With every other box probed in turn each probe needs a new link: 353 boxes
-  // spent a quarter of a loaded day's processor time on links between them.
+  // Probing every other box in turn needs a new connection for each probe: with
+  // 353 boxes under load, that takes a quarter of the processor time.
   constexpr int kRounds = 60;
   const auto boxes = MakeBoxes(1300);
   std::map<BoxName, std::map<BoxName, int>> probers;
@@ -259,9 +266,10 @@
     member.SetBoxes(boxes);
     std::map<BoxName, int> probes;
     for (std::uint64_t i = 0; i < kRounds; ++i) {
-      ++probes[*member.NextProbe(2 * i + 1)]; // never one of the others
+      // An odd draw never selects a random box.
+      ++probes[*member.NextProbe(2 * i + 1)];
     }
-    CHECK(probes.size() == 11); // 1, 2, 4, ... 1024 places on
+    CHECK(probes.size() == 11); // 1, 2, 4, ... 1024 places ahead
     for (const auto& [probed, count] : probes) {
       probers[probed][box] += count;
     }
@@ -272,7 +280,7 @@
   }
 }
 
-TEST_CASE("In a large fleet gone boxes are still probed now and then")
+TEST_CASE("In a large fleet dead boxes are still probed occasionally")
 {
   const auto boxes = MakeBoxes(100);
   Membership member(boxes[0], Incarnation(1));
@@ -291,7 +299,7 @@
   CHECK(probed.size() == boxes.size() - 1);
 }
 
-TEST_CASE("News crosses a large fleet in a few rounds of probes")
+TEST_CASE("An update crosses a large fleet in a few rounds of probes")
 {
   const auto boxes = MakeBoxes(353);
   std::vector<Membership> nodes;
@@ -302,18 +310,18 @@
     nodes.emplace_back(box, Incarnation(1));
     nodes.back().SetBoxes(boxes);
     for (const auto& other : boxes) {
-      nodes.back().OnNewLife(other, Incarnation(1)); // as their records tell
+      nodes.back().OnNewLife(other, Incarnation(1)); // as from their records
     }
   }
   nodes[0].Leave();
   std::mt19937_64 random(5);
   int rounds = 0;
-  const auto told = [&] {
+  const auto informed = [&] {
     return std::count_if(nodes.begin(), nodes.end(), [&](const auto& aNode) {
       return aNode.StateOf(boxes[0]) == MemberState::kLeaving;
     });
   };
-  while (told() < 350 && rounds < 40) {
+  while (informed() < 350 && rounds < 40) {
     ++rounds;
     for (std::size_t from = 0; from < nodes.size(); ++from) {
       const auto to = nodes[from].NextProbe(random());
@@ -336,23 +344,23 @@
   CHECK(suspicion[0].mState == MemberState::kSuspect);
   CHECK(a.TakeUrgent(8).empty());
   c.OnUpdates(suspicion, kStart);
-  CHECK_FALSE(c.WorthSending(kBoxes[1]));
-  CHECK(c.TakeUrgent(8).size() == 1); // it passes it on
+  CHECK_FALSE(c.IsRoutable(kBoxes[1]));
+  CHECK(c.TakeUrgent(8).size() == 1); // forwarded
   c.OnUpdates(suspicion, kStart);
   CHECK(c.TakeUrgent(8).empty()); // but not again
   b.OnUpdates(suspicion, kStart);
   const auto refutation = b.TakeUrgent(8);
   REQUIRE(refutation.size() == 1);
   c.OnUpdates(refutation, kStart);
-  CHECK(c.WorthSending(kBoxes[1]));
+  CHECK(c.IsRoutable(kBoxes[1]));
   CHECK(c.TakeUrgent(8).size() == 1);
 }
 
-TEST_CASE("Urgent news of a box without power crosses a large fleet in few "
-          "trips")
+TEST_CASE("An urgent update about a box without power crosses a large fleet in "
+          "few hops")
 {
-  // As the controller sends it: to three boxes of the own zone and one of each
-  // other, and onwards from whoever it was new to.
+  // Sent as by the controller: to three boxes of the sender's zone and one of
+  // each other zone, and forwarded by each box to which the update is new.
   constexpr int kZones = 5;
   const auto boxes = MakeBoxes(353);
   std::vector<Membership> nodes;
@@ -368,13 +376,13 @@
   }
   nodes[7].OnNotReached(boxes[0], kStart);
   std::mt19937_64 random(11);
-  int trips = 0;
+  int hops = 0;
   int messages = 0;
-  for (; trips < 10; ++trips) {
+  for (; hops < 10; ++hops) {
     std::vector<std::pair<std::size_t, std::vector<MemberUpdate>>> sent;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      const auto news = nodes[i].TakeUrgent(32);
-      if (news.empty()) {
+      const auto updates = nodes[i].TakeUrgent(32);
+      if (updates.empty()) {
         continue;
       }
       for (const auto to :
@@ -382,24 +390,24 @@
                            zones[i],
                            { .mOwnZone = 3, .mPerOtherZone = 1 },
                            random())) {
-        sent.emplace_back(to, news);
+        sent.emplace_back(to, updates);
       }
     }
     if (sent.empty()) {
       break;
     }
     messages += static_cast<int>(sent.size());
-    for (const auto& [to, news] : sent) {
-      if (to != 0) { // it has no power
-        nodes[to].OnUpdates(news, kStart);
+    for (const auto& [to, updates] : sent) {
+      if (to != 0) { // the box has no power
+        nodes[to].OnUpdates(updates, kStart);
       }
     }
   }
-  const auto told =
+  const auto informed =
     std::count_if(nodes.begin(), nodes.end(), [&](const auto& aNode) {
-      return !aNode.WorthSending(boxes[0]);
+      return !aNode.IsRoutable(boxes[0]);
     });
-  CHECK(told >= 345);
-  CHECK(trips <= 8);
+  CHECK(informed >= 345);
+  CHECK(hops <= 8);
   CHECK(messages <= 7 * 353);
 }
--- a/packages/policy/tests/SilenceDetectorTest.cpp
+++ b/packages/policy/tests/SilenceDetectorTest.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 const TimePoint kStart{ Millis(100'000) };
-constexpr Millis kUsual{ 400 };
-constexpr Millis kLate{ 4000 };
+constexpr Millis kUsualTime{ 400 };
+constexpr Millis kOverdueTime{ 4000 };
 constexpr int kAnswers = 50;
 
 AttemptId
@@ -26,8 +26,8 @@
   SilenceDetectorFixture()
   {
     for (int i = 0; i < kAnswers; ++i) {
-      mModel.Observe(kUsual / 2);
-      mModel.Observe(kUsual * 2);
+      mModel.Observe(kUsualTime / 2);
+      mModel.Observe(kUsualTime * 2);
     }
   }
 
@@ -38,7 +38,7 @@
       kStart + aAfter);
   }
 
-  void Begin(std::uint64_t aNumber, Millis aAfter = Millis(0))
+  void Start(std::uint64_t aNumber, Millis aAfter = Millis(0))
   {
     mDetector.OnStarted(Attempt(aNumber), "route", kStart + aAfter);
   }
@@ -52,63 +52,65 @@
 } // namespace
 
 TEST_CASE_FIXTURE(SilenceDetectorFixture,
-                  "Requests of a usual age are no alarm")
+                  "Requests of a usual age raise no alarm")
 {
-  Begin(1);
-  Begin(2);
-  CHECK_FALSE(Alarms(kUsual));
+  Start(1);
+  Start(2);
+  CHECK_FALSE(Alarms(kUsualTime));
 }
 
 TEST_CASE_FIXTURE(SilenceDetectorFixture,
-                  "Several silent requests tell sooner than one")
+                  "Several unanswered requests raise an alarm sooner than one")
 {
-  Begin(1);
-  CHECK_FALSE(Alarms(kUsual * 5 / 2));
-  CHECK(Alarms(kLate));
-  Begin(2);
-  Begin(3);
-  CHECK(Alarms(kUsual * 5 / 2));
+  Start(1);
+  CHECK_FALSE(Alarms(kUsualTime * 5 / 2));
+  CHECK(Alarms(kOverdueTime));
+  Start(2);
+  Start(3);
+  CHECK(Alarms(kUsualTime * 5 / 2));
 }
 
-TEST_CASE_FIXTURE(SilenceDetectorFixture,
-                  "A long request is no alarm while later ones are answered")
+TEST_CASE_FIXTURE(
+  SilenceDetectorFixture,
+  "A long request raises no alarm while later ones are answered")
 {
-  Begin(1);
+  Start(1);
   for (std::uint64_t i = 2; i < 6; ++i) {
-    Begin(i, Millis(100) * i);
+    Start(i, Millis(100) * i);
     mDetector.OnAnswered(Attempt(i));
   }
-  CHECK_FALSE(Alarms(kLate));
+  CHECK_FALSE(Alarms(kOverdueTime));
 }
 
 TEST_CASE_FIXTURE(SilenceDetectorFixture,
-                  "The suspected request's own answer ends the alarm")
+                  "An answer to the overdue request ends the alarm")
 {
-  Begin(1);
-  REQUIRE(Alarms(kLate));
+  Start(1);
+  REQUIRE(Alarms(kOverdueTime));
   mDetector.OnAnswered(Attempt(1));
-  CHECK_FALSE(Alarms(kLate));
+  CHECK_FALSE(Alarms(kOverdueTime));
 }
 
-TEST_CASE_FIXTURE(SilenceDetectorFixture,
-                  "Two answers end the alarm of any number of silent requests")
+TEST_CASE_FIXTURE(
+  SilenceDetectorFixture,
+  "Two answers end the alarm of any number of unanswered requests")
 {
   for (std::uint64_t i = 1; i < 6; ++i) {
-    Begin(i);
-    mDetector.OnGivenUp(Attempt(i), kStart + kLate);
+    Start(i);
+    mDetector.OnGivenUp(Attempt(i), kStart + kOverdueTime);
   }
-  REQUIRE(Alarms(kLate));
-  Begin(7, kLate);
+  REQUIRE(Alarms(kOverdueTime));
+  Start(7, kOverdueTime);
   mDetector.OnAnswered(Attempt(7));
-  CHECK(Alarms(kLate));
-  Begin(8, kLate);
+  CHECK(Alarms(kOverdueTime));
+  Start(8, kOverdueTime);
   mDetector.OnAnswered(Attempt(8));
-  CHECK_FALSE(Alarms(kLate));
+  CHECK_FALSE(Alarms(kOverdueTime));
 }
 
-TEST_CASE_FIXTURE(SilenceDetectorFixture, "A request may say nothing")
+TEST_CASE_FIXTURE(SilenceDetectorFixture, "A forgotten request raises no alarm")
 {
-  Begin(1);
+  Start(1);
   mDetector.Forget(Attempt(1));
-  CHECK_FALSE(Alarms(kLate));
+  CHECK_FALSE(Alarms(kOverdueTime));
 }
--- a/packages/policy/tests/SpreadTest.cpp
+++ b/packages/policy/tests/SpreadTest.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("Each zone gets as many copies as it may, and no box gets two")
+TEST_CASE("Each zone gets its number of copies, and no box gets two")
 {
   const auto zones = ZonesOfBoxes();
   const auto own = zones.front();
@@ -39,28 +39,30 @@
         }) == 3);
 }
 
-TEST_CASE("News reaches nearly every box, and few copies cross a border")
+TEST_CASE(
+  "An update reaches nearly every box, and few copies cross zone boundaries")
 {
-  // One box tells boxes of all zones; whoever hears it first tells its zone.
+  // One box sends to all zones; each box that receives the update for the first
+  // time forwards it within its zone.
   const auto zones = ZonesOfBoxes();
   std::mt19937_64 generator(11);
-  std::set<std::size_t> heard{ 0 };
-  std::vector<std::size_t> next = ChooseReceivers(
+  std::set<std::size_t> informed{ 0 };
+  std::vector<std::size_t> pending = ChooseReceivers(
     zones, zones[0], { .mOwnZone = 3, .mPerOtherZone = 2 }, generator());
   std::size_t crossing = 0;
-  for (const auto index : next) {
+  for (const auto index : pending) {
     crossing += zones[index] == zones[0] ? 0 : 1;
   }
-  while (!next.empty()) {
-    const auto box = next.back();
-    next.pop_back();
-    if (!heard.insert(box).second) {
+  while (!pending.empty()) {
+    const auto box = pending.back();
+    pending.pop_back();
+    if (!informed.insert(box).second) {
       continue;
     }
     const auto further =
       ChooseReceivers(zones, zones[box], { .mOwnZone = 3 }, generator());
-    next.insert(next.end(), further.begin(), further.end());
+    pending.insert(pending.end(), further.begin(), further.end());
   }
   CHECK(crossing == 2 * (kZones - 1));
-  CHECK(heard.size() > zones.size() * 9 / 10);
+  CHECK(informed.size() > zones.size() * 9 / 10);
 }
--- a/packages/policy/tests/WatchTurnsTest.cpp
+++ b/packages/policy/tests/WatchTurnsTest.cpp
@@ -9,16 +9,17 @@
 namespace {
 
 constexpr Millis kStep{ 1000 };
-constexpr Millis kTime{ 60'000 };
+constexpr Millis kDuration{ 60'000 };
 
-// When the watches of a zone end that all begin at 0, one list a watcher.
+// The times at which the polls of a zone end, sorted; all watchers start at 0,
+// and the first aRejected of them never poll.
 std::vector<Millis>
-EndsOf(std::size_t aWatchers, std::size_t aTurnedAway)
+EndTimesOf(std::size_t aWatchers, std::size_t aRejected)
 {
   std::vector<Millis> ends;
-  for (std::size_t rank = aTurnedAway; rank < aWatchers; ++rank) {
+  for (std::size_t rank = aRejected; rank < aWatchers; ++rank) {
     WatchTurns turns({ .mStep = kStep });
-    for (Millis at{ 0 }; at < kTime;) {
+    for (Millis at{ 0 }; at < kDuration;) {
       at += turns.NextWait({ .mRank = rank, .mCount = aWatchers });
       ends.push_back(at);
     }
@@ -31,7 +32,7 @@
 LongestGap(const std::vector<Millis>& aEnds)
 {
   Millis longest = aEnds.front();
-  for (std::size_t i = 1; i < aEnds.size() && aEnds[i] <= kTime; ++i) {
+  for (std::size_t i = 1; i < aEnds.size() && aEnds[i] <= kDuration; ++i) {
     longest = std::max(longest, aEnds[i] - aEnds[i - 1]);
   }
   return longest;
@@ -39,26 +40,26 @@
 
 } // namespace
 
-TEST_CASE("Of watches that all go silent one ends in every step")
+TEST_CASE("Of polls that all become unresponsive one ends in every step")
 {
   for (std::size_t watchers = 1; watchers <= 5; ++watchers) {
-    CHECK(LongestGap(EndsOf(watchers, 0)) <= kStep);
+    CHECK(LongestGap(EndTimesOf(watchers, 0)) <= kStep);
   }
 }
 
-TEST_CASE("Watchers in turns call as often as one that waits a step")
+TEST_CASE("Staggered watchers call as often as one that polls for a step")
 {
-  const auto calls = EndsOf(3, 0).size();
-  CHECK(calls <= static_cast<std::size_t>(kTime / kStep) + 3);
+  const auto calls = EndTimesOf(3, 0).size();
+  CHECK(calls <= static_cast<std::size_t>(kDuration / kStep) + 3);
 }
 
-TEST_CASE("Each watcher that the store turns away makes the gap a step longer")
+TEST_CASE("Each watcher that the store rejects makes the gap a step longer")
 {
-  CHECK(LongestGap(EndsOf(3, 1)) <= 2 * kStep);
-  CHECK(LongestGap(EndsOf(3, 2)) <= 3 * kStep);
+  CHECK(LongestGap(EndTimesOf(3, 1)) <= 2 * kStep);
+  CHECK(LongestGap(EndTimesOf(3, 2)) <= 3 * kStep);
 }
 
-TEST_CASE("Turns begin anew after a change, and at another place")
+TEST_CASE("Turns start again after a change and at another position")
 {
   WatchTurns turns({ .mStep = kStep });
   const WatchPlace second{ .mRank = 1, .mCount = 3 };
