--- a/packages/policy/include/porttiller/policy/AttemptPlan.h
+++ b/packages/policy/include/porttiller/policy/AttemptPlan.h
@@ -1,5 +1,5 @@
-// One request's attempts: where it may still go, when it must end, and what
-// may truly be said of it then.
+// Decides for one request whether another attempt may be made and at which
+// servers, and which outcome may be reported when there is no answer.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -13,28 +13,29 @@
 struct AttemptPlanOptions
 {
   int mMaxAttempts = 6;
-  // Homes that turn it away for want of room or health, before it is sent to
-  // the last resort or given up. Each costs a trip with the whole body, and the
-  // fifth seldom has room when four had none.
-  int mMaxTurnedAway = 4;
-  // More, once only servers that serve as the last resort are left.
+  // Attempts rejected for lack of capacity or because the server is demoted,
+  // before demoted servers are used as the last resort or the request ends.
+  // Each costs a hop with the whole body, and a fifth home seldom has a free
+  // slot when four had none.
+  int mMaxRejectedAttempts = 4;
+  // Further attempts once only demoted servers are left.
   int mLastResortAttempts = 2;
-  // Backend servers that may get the request; 0: as many as attempts allow.
-  // An attempt that its home refused has reached none.
+  // Backend servers that may receive the request; 0: limited by the number of
+  // attempts only. An attempt rejected by its home has reached no server.
   int mMaxServers = 0;
 };
 
-// Why an attempt was not run, as far as it matters for the next one.
+// Why an attempt was not run; decides where the next one may go.
 enum class Setback
 {
   kElsewhere, // this server cannot be used now
-  kSameAgain, // it can, once what its home told is taken into account
-  kFull,      // its home has no slot for it
-  kDemoted,   // it would serve as the last resort
-  kOverloaded // the server itself refused; going elsewhere is a retry
+  kSameAgain, // usable with the incarnation and clock that its home returned
+  kFull,      // its home has no free slot, or no retry left for it
+  kDemoted,   // usable only as the last resort
+  kOverloaded // rejected by the server itself; another server costs a retry
 };
 
-// Takes one retry from the budget; false when there is none.
+// Takes one retry from the retry budget; false when it is spent.
 using RetrySource = std::function<bool()>;
 
 // Owned by the thread that serves the request.
@@ -43,38 +44,39 @@
 public:
   AttemptPlan(bool aRepeatable, AttemptPlanOptions aOptions = {});
 
-  // False once the request must end with what is known.
+  // False once the request must end with the outcome known so far.
   bool MayAttempt();
   bool MayUse(const BackendServerName& aServer) const;
-  // Whether demoted servers are to serve it.
+  // Whether demoted servers may be used.
   bool LastResort() const { return mLastResort; }
-  // No server is left that MayUse allows; false when there is none at all.
-  // aDemotedLeft: some are known to serve as the last resort, untried.
+  // Allows demoted servers as the last resort, once MayUse allows no other.
+  // aDemotedLeft: there are demoted servers that were not tried. False when
+  // there is no demoted server, or they were allowed before.
   bool Widen(bool aDemotedLeft = false);
 
-  // Each attempt that was sent ends with one of the three calls below.
+  // Every OnSent is followed by exactly one of the three calls below.
   void OnSent(const BackendServerName& aServer);
-  // The server answered; one that failed may be tried elsewhere.
+  // The server answered. aFailed: with a failure that may be retried.
   void OnAnswered(bool aFailed, const RetrySource& aRetry);
   void OnNotRun(const BackendServerName& aServer,
                 Setback aSetback,
                 const RetrySource& aRetry);
   void OnUnknown(const RetrySource& aRetry);
 
-  // Whether another attempt may be sent while one runs. Takes a retry.
+  // Whether a hedged attempt may be sent while one runs. Takes a retry.
   bool MayRace(const RetrySource& aRetry);
   bool Repeatable() const { return mRepeatable; }
-  // A server has got the request, or may have.
+  // Whether a server has received the request or may have.
   bool ReachedBefore() const { return mServersReached + mInFlight > 0; }
-  // The next attempt may fail without the request being lost.
+  // Whether another attempt may follow if the next one fails.
   bool MayFailNext() const;
 
-  // kNotRun only while every attempt was confirmed as not run.
+  // kNotRun only if every attempt is confirmed as not run.
   Outcome OutcomeWithoutAnswer() const;
   int Attempts() const { return mAttempts; }
 
 private:
-  // Once aServers more have got the request.
+  // Whether one more server may receive the request after aServers others.
   bool MayReachAnother(int aServers = 0) const;
   bool MayRepeat(const RetrySource& aRetry);
 
@@ -83,9 +85,9 @@
   std::set<BackendServerName> mTried;
   std::set<BackendServerName> mDemoted;
   int mAttempts = 0;
-  int mTurnedAway = 0;
-  int mServersReached = 0; // or perhaps reached
-  int mInFlight = 0;       // these count as reached, too
+  int mRejectedAttempts = 0;
+  int mServersReached = 0; // received the request or may have
+  int mInFlight = 0;       // counted as reached, too
   int mMaxAttempts;
   bool mLastResort = false;
   bool mEnded = false;
--- a/packages/policy/include/porttiller/policy/AttemptRegistry.h
+++ b/packages/policy/include/porttiller/policy/AttemptRegistry.h
@@ -1,9 +1,9 @@
-// What a home knows of each attempt that was sent to it: the record behind
-// "runs at most once" and behind a true "not-run".
+// A home's record of the attempts sent to it. It ensures that an attempt runs
+// at most once and that "not-run" is reported only for attempts that never run.
 //
-// Memory is bounded. A record that is dropped leaves a watermark for its entry
-// incarnation: attempts at or below it that have no record are never run and
-// never called not-run.
+// Memory is bounded. Dropping a record raises the watermark of its entry
+// incarnation: attempts at or below the watermark without a record are neither
+// run nor reported as not run.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -17,13 +17,13 @@
 
 namespace porttiller {
 
-// The answer of a finished attempt, kept for a caller that asks again.
+// The answer of a finished attempt, kept for a caller that repeats the request.
 struct RecordedAnswer
 {
   int mStatus = 0;
   std::string mContentType;
   std::string mBody;
-  std::string mRequestKey; // only a caller that shows it may read the answer
+  std::string mRequestKey; // a caller must send the same key to get the answer
 };
 
 using RecordedAnswerPtr = std::shared_ptr<const RecordedAnswer>;
@@ -33,15 +33,15 @@
   kAdmitted,
   kDuplicate, // already admitted once: must not run again
   kRevoked,   // revoked before it arrived: was not run and will not be
-  kStale      // too old to know: must not run
+  kStale      // its record may have been dropped: must not run
 };
 
 enum class AttemptState
 {
-  kNotRun,   // revoked or refused; recorded, so it never will be
+  kNotRun,   // revoked or rejected; recorded, so it never runs
   kRunning,  // admitted and not finished
-  kFinished, // ended; Outcome and answer tell how
-  kForgotten // nothing can be said
+  kFinished, // see the outcome and the answer
+  kForgotten // no record: it may have run or not
 };
 
 struct AttemptReport
@@ -55,19 +55,21 @@
 {
   std::size_t mMaxRecords = 8192;
   std::size_t mMaxAnswerBytes = 1 << 20; // over all kept answers
-  Millis mIdleIncarnation{ 3'600'000 };  // entry lives forgotten after this
+  // Entry incarnations without records are dropped after this time.
+  Millis mIdleIncarnationTimeout{ 3'600'000 };
 };
 
-// One shard of a home's record. Not thread-safe: its owner holds a lock.
+// One shard of a home's records. Not thread-safe: its owner holds a lock.
 class AttemptRegistry
 {
 public:
   explicit AttemptRegistry(AttemptRegistryOptions aOptions = {});
 
-  // Call before anything is handed to a backend server; only kAdmitted may be.
+  // Call before anything is sent to a backend server; only an attempt with
+  // kAdmitted may be sent.
   AdmitVerdict Admit(const AttemptId& aId, TimePoint aNow);
 
-  // An admitted attempt ends without having been handed over.
+  // An admitted attempt ends without having been sent to a backend server.
   void Refuse(const AttemptId& aId);
 
   // An admitted attempt ends; aAnswer may be null.
@@ -75,13 +77,13 @@
               Outcome aOutcome,
               RecordedAnswerPtr aAnswer);
 
-  // Makes sure that the attempt never runs if it has not been admitted yet.
+  // Prevents the attempt from running if it has not been admitted yet.
   AttemptReport Revoke(const AttemptId& aId, TimePoint aNow);
 
   // Reads without changing anything.
   AttemptReport Query(const AttemptId& aId) const;
 
-  std::size_t Size() const { return mOrder.size(); }
+  std::size_t Size() const { return mRecordOrder.size(); }
   std::size_t AnswerBytes() const { return mAnswerBytes; }
 
 private:
@@ -117,11 +119,11 @@
 
   AttemptRegistryOptions mOptions;
   std::map<EntryKey, Entry> mEntries;
-  // The latest life of each box that was forgotten: unknown lives up to it
-  // are too old to tell. Lives are numbered by time.
-  std::map<BoxName, Incarnation> mForgotten;
-  std::deque<AttemptId> mOrder;   // oldest record first
-  std::deque<AttemptId> mAnswers; // oldest kept answer first
+  // The latest dropped incarnation of each box. Incarnation numbers grow with
+  // time, so unknown ones up to it are treated as stale.
+  std::map<BoxName, Incarnation> mDroppedIncarnations;
+  std::deque<AttemptId> mRecordOrder; // oldest record first
+  std::deque<AttemptId> mAnswerOrder; // oldest kept answer first
   std::size_t mAnswerBytes = 0;
   TimePoint mNextIdleScan;
 };
--- a/packages/policy/include/porttiller/policy/Balancer.h
+++ b/packages/policy/include/porttiller/policy/Balancer.h
@@ -1,5 +1,6 @@
-// Picks the backend server for an attempt: the best of three choices, two of
-// them from the own availability zone, by load and by the cost of the trip.
+// Chooses the backend server for an attempt: the cheapest of three random
+// candidates, two of them from the entry's own availability zone. Load and the
+// cost of a hop to another zone count.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -11,41 +12,42 @@
 
 namespace porttiller {
 
-// How an entry may use a server, best first.
+// Whether an entry may use a server, best first.
 enum class Standing
 {
-  kOpen,        // nothing speaks against it
-  kAvoid,       // its home asked to be used last
-  kDemoted,     // its home turns away all but the last resort
-  kUnreachable, // its box does not answer: each try costs a time-out
-  kClosed,      // its home refuses: ejected or leaving
-  kTried        // this request has been there
+  kOpen,        // usable without restriction
+  kAvoid,       // its home asks to prefer other servers
+  kDemoted,     // its home accepts only requests without another choice
+  kUnreachable, // its box does not answer: each attempt costs a timeout
+  kClosed,      // its home rejects requests: ejected or leaving
+  kTried        // this request was sent to it before
 };
 
-// What an entry knows of one server when it chooses.
+// What an entry knows about one server.
 struct Candidate
 {
   Standing mStanding = Standing::kOpen;
   bool mSameZone = false;
-  int mInFlight = 0;          // of this entry
+  int mInFlight = 0;          // requests of this entry
   double mReportedLoad = 0.0; // 0 idle, 1 all slots busy, above 1 queued
   int mSlots = 1;
-  bool mTrialDue = false; // it fails, and a request that may fail is welcome
+  bool mTrialDue = false; // it fails; a request that may fail should test it
 };
 
 struct BalancerOptions
 {
-  // Load that a trip to another availability zone is worth.
+  // Added to the load of a server in another availability zone.
   double mZonePenalty = 0.5;
 };
 
-// A server whose trial is due, of the own zone if there is one; null when there
-// is none. aRandom is a uniform 64-bit draw.
+// A server whose trial is due, preferably of the same zone; null when there is
+// none. aRandom is a uniform 64-bit draw.
 std::optional<std::size_t>
 ChooseTrial(std::span<const Candidate> aCandidates, std::uint64_t aRandom);
 
-// The index of the choice; null when no candidate is kOpen or kAvoid. Open
-// ones go before avoided ones. aRandom1 and aRandom2 are uniform 64-bit draws.
+// The index of the chosen candidate; null when none is kOpen or kAvoid. Avoided
+// servers are chosen only when none is open. aRandom1 and aRandom2 are uniform
+// 64-bit draws.
 std::optional<std::size_t>
 ChooseServer(std::span<const Candidate> aCandidates,
              const BalancerOptions& aOptions,
--- a/packages/policy/include/porttiller/policy/LatencyModel.h
+++ b/packages/policy/include/porttiller/policy/LatencyModel.h
@@ -1,6 +1,6 @@
-// How long the requests of one kind usually take: a log-normal distribution,
-// fitted to the answers as they come. Its two figures say how much of the
-// requests outlast a time, also one that none has lasted yet.
+// Latency of one kind of requests: a log-normal distribution that is fitted to
+// the answers as they arrive. Its two parameters give the share of requests
+// that take longer than a given time, even a time longer than any observed.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -9,14 +9,16 @@
 
 struct LatencyModelOptions
 {
-  // Before any answer; many kinds of requests lie within two sigmas of it.
+  // Assumed before any answer; most kinds of requests lie within two sigmas.
   Micros mInitialMedian{ 300'000 };
   double mInitialSigma = 1.0;
-  // The newest answer weighs one in so many once there are more.
-  int mMemory = 64;
-  // Of all requests so many may take any time: few are as regular as their
-  // bulk, and one that is late says only so much.
-  double mTail = 0.01;
+  // Limits the number of samples in the weight of the newest one, so that old
+  // samples fade out exponentially.
+  int mMaxSamples = 64;
+  // Share of requests that may take any time. Real latencies have a heavier
+  // tail than the fitted distribution, so a late answer is only weak evidence
+  // of a failure.
+  double mMinSurvival = 0.01;
   double mMinSigma = 0.25;
 };
 
@@ -27,10 +29,10 @@
   explicit LatencyModel(LatencyModelOptions aOptions = {});
 
   void Observe(Micros aTime);
-  // The share of requests that take longer than aTime, never below the tail.
+  // The share of requests that take longer than aTime, at least mMinSurvival.
   double Survival(Micros aTime) const;
-  // The time that lies so many sigmas above the median; 1.28 is outlasted by
-  // one request in ten.
+  // The time that lies aSigmas above the median; 1.28 gives the 90th
+  // percentile.
   Micros TimeAt(double aSigmas) const;
   int Samples() const { return mSamples; }
 
@@ -38,9 +40,9 @@
   double Sigma() const;
 
   LatencyModelOptions mOptions;
-  int mSamples = 0; // up to the memory
+  int mSamples = 0; // up to mMaxSamples
   double mMean;     // of the logarithm of the time in microseconds
-  double mVariance; // of the same
+  double mVariance; // of the same logarithm
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/LimitGate.h
+++ b/packages/policy/include/porttiller/policy/LimitGate.h
@@ -1,8 +1,8 @@
-// Lets requests of workspaces through at one entry, so that all entries
-// together keep each workspace's limit. Counts what it sees for a collector of
-// its zone (UsageCollector), which grants shares of workspaces that are near
-// their limit; all others pass. Load pattern: a customer who sends several
-// times its limit, in small parts through every box.
+// Admits the requests of workspaces at one entry, so that all entries together
+// keep each workspace's rate limit. Counts requests for a collector of its zone
+// (UsageCollector), which grants the shares to admit of workspaces near their
+// limit; the requests of all others are admitted. Covers a workspace that
+// sends several times its limit, spread thinly over every box.
 #pragma once
 
 #include "porttiller/policy/RequestLimit.h"
@@ -16,35 +16,36 @@
 
 struct LimitGateOptions
 {
-  // Shares hold for so long after a collector has granted them.
-  Millis mGrantsLast{ 1500 };
-  // An entry whose shares are too old, after a rest say, uses them for so long;
-  // after that it keeps to its own part of each limit.
-  Millis mPatience{ 700 };
-  // Requests that its own part lets through after a rest; a part is often less
-  // than one request a second.
-  double mOwnBurst = 1.0;
-  // Beside its shares, an entry alone lets no more through than the whole limit
-  // and so much of what is spare.
+  // Grants of a collector expire after this time.
+  Millis mGrantLifetime{ 1500 };
+  // Expired grants, for example after a time without requests, are used for
+  // this time while new ones are pending. After that the entry enforces its
+  // local part of each limit.
+  Millis mGrantGracePeriod{ 700 };
+  // Least burst of the local part, in requests; a local part is often less than
+  // one request per second.
+  double mLocalBurst = 1.0;
+  // Whatever its shares, one entry alone admits no more than the whole limit
+  // and mToleranceShare of the tolerance (SpareOf).
   LimitBounds mBounds;
-  double mSpareAlone = 0.5;
-  // Workspaces without a request for so long are forgotten.
-  Millis mForgetAfter{ 30'000 };
+  double mToleranceShare = 0.5;
+  // Workspaces without a request for this time are dropped.
+  Millis mDropIdleAfter{ 30'000 };
 };
 
 struct LimitVerdict
 {
   bool mAdmitted = false;
-  // Not admitted: when there may be room.
+  // When not admitted: the time to wait before a repeat.
   Millis mRetryAfter{ 0 };
-  // What was let through of this workspace and priority.
+  // The admitted share of this workspace and priority, 0 to 1.
   double mShare = 1.0;
-  // How old that was; null where there was none, or it is too old and the gate
-  // kept to its own part.
+  // Age of the grant; null without a grant, or when the local part of the limit
+  // was enforced instead.
   std::optional<Millis> mAge;
 };
 
-// Not thread-safe: its owner holds the lock. Random draws come in.
+// Not thread-safe: its owner holds the lock. The caller supplies random draws.
 class LimitGate
 {
 public:
@@ -56,51 +57,53 @@
                      Priority aPriority,
                      TimePoint aNow,
                      std::uint64_t aRandom);
-  // An admitted request was not run.
+  // Returns the tokens of an admitted request that was not run.
   void GiveBack(const WorkspaceName& aWorkspace);
 
-  // What has not been told yet; it counts as told from now on.
-  WorkspaceUses TakeUse(TimePoint aNow);
+  // Returns the counts since the last call and resets them.
+  WorkspaceUses TakeUnreportedUse(TimePoint aNow);
 
-  // From a collector: workspaces that it does not name pass. One that warms
-  // up lowers shares only.
+  // Grants from a collector; workspaces without a grant are not restricted.
+  // aWarming: the collector is warming up, so shares are only lowered.
   void OnGrants(const WorkspaceGrants& aGrants, bool aWarming, TimePoint aNow);
-  // Of a limit, the part of this entry by itself: one of so many boxes.
+  // The local part of each limit is the limit divided by aBoxes.
   void SetBoxes(std::size_t aBoxes);
 
-  // A line for each workspace whose requests are held to a share.
+  // One item for each workspace with a share below 1.
   std::string Dump() const;
 
 private:
   struct State
   {
-    WorkspaceUse mUntold;
+    WorkspaceUse mUnreported;
     std::array<double, kPriorityCount> mShares = { 1.0, 1.0, 1.0 };
-    // Of shares, summed up: a request passes at each whole one.
-    std::array<double, kPriorityCount> mPassing{};
-    double mOwnTokens = 0.0;   // of its own part; below zero: it took more
-    double mWholeTokens = 0.0; // of the whole limit
-    std::optional<TimePoint> mFilledAt; // when both were right
-    TimePoint mUsedAt;
+    // Sum of shares over requests, for each priority; when a sum reaches 1, the
+    // request is admitted and 1 is subtracted.
+    std::array<double, kPriorityCount> mShareSums{};
+    // Token bucket of the local part. Negative when grants admitted more.
+    double mLocalTokens = 0.0;
+    double mLimitTokens = 0.0; // token bucket of the whole limit
+    std::optional<TimePoint> mRefilledAt;
+    TimePoint mLastUsedAt;
   };
 
   State& StateOf(const WorkspaceName& aWorkspace,
                  TimePoint aNow,
                  std::uint64_t aRandom);
-  bool Trusted(TimePoint aNow);
-  void Fill(State& aState, const RequestLimit& aLimit, TimePoint aNow) const;
-  LimitVerdict OfferShare(State& aState,
-                          std::size_t aPriority,
-                          TimePoint aNow,
-                          std::uint64_t aRandom) const;
-  LimitVerdict OfferOwn(const State& aState,
-                        const RequestLimit& aLimit,
-                        std::uint64_t aRandom) const;
+  bool GrantsUsable(TimePoint aNow);
+  void Refill(State& aState, const RequestLimit& aLimit, TimePoint aNow) const;
+  LimitVerdict OfferByShare(State& aState,
+                            std::size_t aPriority,
+                            TimePoint aNow,
+                            std::uint64_t aRandom) const;
+  LimitVerdict OfferLocally(const State& aState,
+                            const RequestLimit& aLimit,
+                            std::uint64_t aRandom) const;
 
   const LimitGateOptions mOptions;
   std::unordered_map<std::string, State> mStates; // by workspace
   std::optional<TimePoint> mGrantsAt;
-  std::optional<TimePoint> mWantsSince; // newer ones
+  std::optional<TimePoint> mGrantsMissingSince; // since grants expired
   double mBoxes = 1.0;
 };
 
--- a/packages/policy/include/porttiller/policy/RequestLimit.h
+++ b/packages/policy/include/porttiller/policy/RequestLimit.h
@@ -1,5 +1,5 @@
-// What all boxes together may let through for one workspace, and the messages
-// in which they count it.
+// The rate limit of a workspace over all boxes, and the messages that report
+// its use and grant shares of it.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -15,21 +15,21 @@
 struct RequestLimit
 {
   double mRatePerSecond = 0.0;
-  double mBurst = 0.0; // requests besides, after a rest
+  double mBurst = 0.0; // requests beyond the rate after a time without any
 
   friend auto operator<=>(const RequestLimit&, const RequestLimit&) = default;
 };
 
-// How exactly a limit has to be kept: in no window more than
+// How far a limit may be exceeded: no window has more than
 // (rate x mWindow + burst) x (1 + mOver) + mSlack requests.
 struct LimitBounds
 {
   Millis mWindow{ 5000 };
-  double mOver = 0.1;
-  double mSlack = 20.0;
+  double mOver = 0.1;   // of the limit
+  double mSlack = 20.0; // requests
 };
 
-// Requests that a window may have beyond rate x window + burst.
+// The tolerance: requests that a window may have beyond rate x window + burst.
 inline double
 SpareOf(const RequestLimit& aLimit, const LimitBounds& aBounds)
 {
@@ -38,23 +38,23 @@
          aBounds.mSlack;
 }
 
-// Requests of one workspace, since the last time that they were told.
+// Requests of one workspace since its last report.
 struct WorkspaceUse
 {
   WorkspaceName mWorkspace;
   std::array<std::uint32_t, kPriorityCount> mOffered{}; // by priority
-  std::int32_t mAdmitted = 0; // less those given back: it may be negative
+  std::int32_t mAdmitted = 0; // less those not run, so it may be negative
 
   friend bool operator==(const WorkspaceUse&, const WorkspaceUse&) = default;
 };
 
 using WorkspaceUses = std::vector<WorkspaceUse>;
 
-// What entries let through of a workspace that is near its limit.
+// What entries may admit of a workspace that is near its limit.
 struct WorkspaceGrant
 {
   WorkspaceName mWorkspace;
-  // Of the requests of each priority, from 0 to 1.
+  // Admitted share of the requests of each priority, from 0 to 1.
   std::array<double, kPriorityCount> mShares{};
 
   friend bool operator==(const WorkspaceGrant&,
--- a/packages/policy/include/porttiller/policy/RetryBudget.h
+++ b/packages/policy/include/porttiller/policy/RetryBudget.h
@@ -1,5 +1,5 @@
-// Bounds second attempts to a share of the first ones, so that retries cannot
-// multiply an overload.
+// A token bucket that bounds retries to a share of the first attempts, so that
+// retries cannot amplify an overload.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -9,10 +9,10 @@
 struct RetryBudgetOptions
 {
   double mShare = 0.2;  // retries for each first attempt
-  double mBurst = 10.0; // retries that may be saved up, however few requests
-  // Of the first attempts in the last window, so many more may be saved up.
-  // Failures come in spells: a budget that a busy entry cannot save is empty
-  // when the spell begins and unused before it.
+  double mBurst = 10.0; // retries that may be saved without any request
+  // Further retries that may be saved, for each first attempt of the last
+  // window. Failures come in bursts: without saved retries, the budget of a
+  // busy entry goes unused before a burst and is spent as soon as one begins.
   double mSavedShare = 0.0;
   Millis mWindow{ 10'000 };
 };
@@ -23,14 +23,15 @@
 public:
   explicit RetryBudget(RetryBudgetOptions aOptions = {});
 
-  // Tokens in hand stay, up to what the new options let it save.
+  // Keeps the saved retries, up to the limit of the new options.
   void SetOptions(const RetryBudgetOptions& aOptions);
   void OnFirstAttempt(TimePoint aNow);
   // Takes one retry; false when the budget is spent.
   bool TryRetry();
-  // Takes one that was granted before, when the budget still had it.
+  // Takes a retry that was admitted earlier, when Affords(1) held. The budget
+  // may become negative.
   void Spend() { mTokens -= 1.0; }
-  // Whether so many retries are in hand.
+  // Whether aRetries are available.
   bool Affords(int aRetries) const;
 
 private:
@@ -38,8 +39,8 @@
 
   RetryBudgetOptions mOptions;
   double mTokens;
-  double mRecent = 0.0; // first attempts, fading over a window
-  TimePoint mRecentAt;
+  double mRecentFirstAttempts = 0.0; // decays exponentially over a window
+  TimePoint mLastFirstAttemptAt;
 };
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/RetryShare.h
+++ b/packages/policy/include/porttiller/policy/RetryShare.h
@@ -1,9 +1,9 @@
-// How a fleet's bound on repeats is dealt out over the homes of a service.
-// Answers spells of failing servers at a large service: every few seconds some
-// of hundreds of homes need repeats at others, and a home that holds less than
-// one repeat can never serve any. Held by homes, as they see all that arrives
-// and are fewer than the entries: dealt out over 80 entries, a fleet's burst of
-// 48 left none of them a whole repeat.
+// Divides a fleet's bound on repeats among the homes of a service. When servers
+// of a large service fail in bursts, requests from some of hundreds of homes
+// need repeats at other homes every few seconds, and a home whose part is less
+// than one repeat can never admit any. Homes hold the parts because they see
+// every request that arrives, and are fewer than the entries: a fleet's burst
+// of 48 divided among 80 entries leaves none of them a whole repeat.
 #pragma once
 
 #include "porttiller/policy/RetryBudget.h"
@@ -12,11 +12,11 @@
 
 namespace porttiller {
 
-// Repeats that a service may get in any window.
+// Repeats that a service may receive in any window.
 struct RetryBound
 {
   double mShare = 0.2;  // of its requests
-  double mBurst = 10.0; // besides
+  double mBurst = 10.0; // repeats beyond the share
   Millis mWindow{ 10'000 };
 };
 
@@ -24,14 +24,14 @@
 RetryBound
 Tighter(const RetryBound& aLeft, const RetryBound& aRight);
 
-// What homes may use of a bound that is checked from outside. The rest is for
-// what no home can tell from a first attempt: the calls that repeated requests
-// make once more, and boxes that start anew with a full burst. With all of it,
-// 255 repeats arrived in 10 s where 196 were allowed.
+// The part of an externally checked bound that homes may use. The rest is a
+// reserve for repeats that no home can tell from first attempts: calls that a
+// repeated request makes again, and the full burst of each box that restarts.
+// Without the reserve, 255 repeats arrive in 10 s where 196 are allowed.
 RetryBound
 UsedOf(const RetryBound& aFleet);
 
-// The part of one home among so many; all of them together stay within aBound.
+// The budget of one of aHomes homes; all of them together stay within aBound.
 RetryBudgetOptions
 HomeShareOf(const RetryBound& aBound, std::size_t aHomes);
 
--- a/packages/policy/include/porttiller/policy/SlotQueue.h
+++ b/packages/policy/include/porttiller/policy/SlotQueue.h
@@ -1,6 +1,6 @@
-// Admission to one backend server: its slots, a short queue before them, and
-// who is given up first under overload. A request that is given up is named at
-// once, with a time to come back after.
+// Admission control of one backend server: its slots and a short queue for
+// them. Under overload, requests of the lowest priority are shed first,
+// immediately and with a time to wait before a repeat.
 #pragma once
 
 #include "porttiller/core/Outcome.h"
@@ -20,36 +20,36 @@
 struct SlotQueueOptions
 {
   int mSlots = 1;
-  // Waiting requests allowed for each slot, over all priorities.
+  // Waiting requests for each slot, over all priorities.
   double mQueuePerSlot = 2.0;
   // Share of the queue that each priority may fill: critical, normal,
   // sheddable.
   std::array<double, kPriorityCount> mQueueShare = { 1.0, 0.75, 0.4 };
   Micros mInitialServiceTime{ 20'000 };
-  // Of the usual service time, so much must be left when a request starts;
-  // one that cannot end in time would only keep a slot from another.
+  // Share of the usual service time that must be left before the deadline when
+  // a request starts; one that cannot end in time only occupies a slot.
   double mMinServiceShare = 0.0;
 };
 
 enum class OfferVerdict
 {
-  kStart, // it has a slot now
-  kWait,  // it is queued; Release or Cancel names it later
-  kShed   // it is given up now
+  kStart, // it has a slot
+  kWait,  // queued; a later Release, Cancel or displacing Offer removes it
+  kShed   // rejected because of overload or its deadline
 };
 
 struct OfferResult
 {
   OfferVerdict mVerdict = OfferVerdict::kShed;
-  Millis mRetryAfter{ 0 };          // with kShed
-  std::optional<Ticket> mDisplaced; // a waiting one that is given up instead
+  Millis mRetryAfter{ 0 };          // with kShed, or for mDisplaced
+  std::optional<Ticket> mDisplaced; // a waiting request shed in its place
 };
 
-// What a freed slot brings.
+// Waiting requests that leave the queue when a slot is freed.
 struct ReleaseResult
 {
   std::vector<Ticket> mStart;
-  std::vector<Ticket> mExpired; // their deadline passed while waiting
+  std::vector<Ticket> mExpired; // can no longer end before their deadline
 };
 
 // Not thread-safe: its owner holds the server's lock.
@@ -63,24 +63,24 @@
                     TimePoint aDeadline,
                     TimePoint aNow);
 
-  // A started request ended after aServiceTime; null when it never ran.
+  // A started request ended after aServiceTime; null when it was not run.
   ReleaseResult Release(std::optional<Micros> aServiceTime, TimePoint aNow);
 
-  // A waiting request goes away; false when it was not waiting.
+  // Removes a waiting request; false when it was not waiting.
   bool Cancel(Ticket aTicket);
 
-  // Fewer slots while a server warms up; started requests go on.
+  // Limits the slots while a server warms up; running requests continue.
   void SetSlotLimit(int aLimit);
 
   int Running() const { return mRunning; }
   int Waiting() const;
   int SlotLimit() const { return mSlotLimit; }
-  // A waiting request that has no slot by then cannot end in time.
+  // A request that gets a slot later than this cannot end before aDeadline.
   TimePoint LatestStart(TimePoint aDeadline) const
   {
     return aDeadline - MinService();
   }
-  // When a request offered now could expect a slot.
+  // How long a request offered now would wait for a slot.
   Millis ExpectedWait() const;
   std::string Dump() const;
 
--- a/packages/policy/include/porttiller/policy/Subset.h
+++ b/packages/policy/include/porttiller/policy/Subset.h
@@ -1,8 +1,8 @@
-// Which servers of a service an entry works with first. Answers many entries
-// with little traffic each before many servers: an entry with ten requests a
-// second that chooses among 266 servers meets each once in half a minute, so it
-// knows nothing of their load, hears of no spell, and opens a connection for
-// nearly every request. Among 20 it meets each every two seconds.
+// Chooses the servers of a service that an entry prefers (subsetting). With
+// many entries, each with little traffic, and many servers, an entry that sends
+// ten requests per second to 266 servers uses each once in half a minute: it
+// knows neither their load nor their failures, and opens a connection for
+// nearly every request. With 20 servers it uses each every two seconds.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -16,25 +16,25 @@
 
 struct SubsetOptions
 {
-  // Of the own availability zone, and of the others together. With fewer the
-  // loss of a few leaves too little choice; with more each is met too seldom.
+  // Servers of the entry's own availability zone, and of all others together.
+  // With fewer, losing some leaves too little choice; with more, each is used
+  // too seldom to know its state.
   std::size_t mOwnZone = 12;
   std::size_t mOtherZones = 8;
 };
 
-// A place on the ring on which entries and servers are spread.
+// Position on the hash ring of entries and servers.
 std::uint64_t
 RingPlace(std::string_view aName);
 
-// One server as the choice sees it.
 struct SubsetServer
 {
   std::uint64_t mPlace = 0; // RingPlace of its name
   bool mSameZone = false;
 };
 
-// The entry among those of its zone. Its zone's entries cover the servers of
-// the zone evenly, and those of all other zones, too.
+// Position of the entry among the entries of its zone. Together these cover the
+// servers of the zone evenly, and the servers of all other zones, too.
 struct SubsetEntry
 {
   std::size_t mRank = 0;    // entries with a smaller RingPlace
@@ -43,10 +43,11 @@
 
 struct Subset
 {
-  // Indices of all servers, those to work with first in front.
+  // Indices of all servers, those of the subset first.
   std::vector<std::size_t> mOrder;
-  // So many of them are the subset; each server is in as many subsets as any
-  // other, but for one, and one more box changes two at most.
+  // Size of the subset. The numbers of subsets that two servers of a zone are
+  // in differ by one at most, and adding a box changes at most two servers of a
+  // subset.
   std::size_t mSize = 0;
 };
 
--- a/packages/policy/include/porttiller/policy/UseReporter.h
+++ b/packages/policy/include/porttiller/policy/UseReporter.h
@@ -1,9 +1,9 @@
-// When an entry tells what of its counts to which collector. Counts go out
-// every tick without a reply; every few ticks a reply is asked for, which shows
-// that the collector has them all. Those that it may not have are told once
-// more, to the other collector of the zone: counted twice is better than not at
-// all. Never more often: where only replies are lost, a collector has counted
-// what it does not confirm.
+// Decides when an entry reports which counts to which collector. Counts are
+// sent every tick without a reply. Every few ticks a reply is requested, which
+// confirms that the collector has received everything so far. Unconfirmed
+// counts are sent once more, to the other collector of the zone, because
+// counting twice is better than not at all. They are not sent a third time:
+// where only replies are lost, the collectors have counted them already.
 #pragma once
 
 #include "porttiller/policy/LimitGate.h"
@@ -15,12 +15,12 @@
 
 struct UseReporterOptions
 {
-  Millis mReplyEvery{ 750 };
-  // An entry that has seen no request of a limited workspace for so long asks
-  // for no grants.
-  Millis mRestAfter{ 5000 };
-  // The first collector is passed over for so long after it did not reply;
-  // doubles with each time, until it replies again.
+  Millis mReplyInterval{ 750 };
+  // An entry requests no grants when it has seen no request of a limited
+  // workspace for this time.
+  Millis mIdleAfter{ 5000 };
+  // How long the first collector is avoided after a missing reply; doubles each
+  // time until it replies again.
   Millis mAvoidFor{ 3000 };
   Millis mMaxAvoidFor{ 24'000 };
 };
@@ -29,40 +29,40 @@
 struct UseReport
 {
   BoxName mCollector;
-  std::uint64_t mQuestion = 0; // not 0: a reply is wanted
+  std::uint64_t mQuestion = 0; // for OnReply; 0: no reply is requested
   WorkspaceUses mUses;
 };
 
-// Not thread-safe: its owner holds the lock, also that of the gate.
+// Not thread-safe: its owner holds the lock, which also protects the gate.
 class UseReporter
 {
 public:
   explicit UseReporter(UseReporterOptions aOptions = {});
 
-  // At each tick, with the collectors of the zone, the first one first. Null
-  // when there is nothing to tell or to ask, or nobody to tell it to.
+  // Called at each tick with the collectors of the zone, the preferred one
+  // first. Null when there is nothing to report or request, or no collector.
   std::optional<UseReport> Next(LimitGate& aGate,
                                 const std::vector<BoxName>& aCollectors,
                                 TimePoint aNow);
-  // To UseReport::mQuestion. Not aReplied: no reply came in time.
-  void OnReply(std::uint64_t aQuestion, bool aReplied, TimePoint aNow);
+  // The reply to a report that requested one. Not aReplied: it timed out.
+  void OnReply(std::uint64_t aReplyToken, bool aReplied, TimePoint aNow);
 
 private:
-  void TellAgain();
-  void MoveTo(const BoxName& aCollector);
+  void QueueResend();
+  void SwitchTo(const BoxName& aCollector);
 
   const UseReporterOptions mOptions;
-  BoxName mCollector;      // that has been told the following
-  WorkspaceUses mAskedFor; // told with or before the open question
-  WorkspaceUses mSince;    // told after it
-  WorkspaceUses mAgain;    // to be told once more
-  bool mAsked = false;
-  std::optional<TimePoint> mAskedAt;
-  std::optional<TimePoint> mUsedAt;
-  TimePoint mAvoidUntil; // the first collector
-  Millis mAvoidNext;     // for so long, when it does not reply
-  std::uint64_t mQuestions = 0;
-  int mFailures = 0; // in a row
+  BoxName mCollector;              // receiver of the following two
+  WorkspaceUses mAwaitingReply;    // sent with or before the pending request
+  WorkspaceUses mSentAfterRequest; // sent after it
+  WorkspaceUses mResend;           // to be sent once more
+  bool mReplyPending = false;
+  std::optional<TimePoint> mRequestedAt;
+  std::optional<TimePoint> mLastUsedAt;
+  TimePoint mAvoidUntil; // of the first collector
+  Millis mNextAvoidFor;  // after its next missing reply
+  std::uint64_t mLastReplyToken = 0;
+  int mFailures = 0; // consecutive missing replies
 };
 
 } // namespace porttiller
--- a/packages/policy/src/AttemptPlan.cpp
+++ b/packages/policy/src/AttemptPlan.cpp
@@ -15,8 +15,9 @@
   if (mEnded) {
     return false;
   }
-  const bool roams = mLastResort || mTurnedAway < mOptions.mMaxTurnedAway;
-  return (mAttempts < mMaxAttempts && roams) || Widen();
+  const bool mayTryMoreHomes =
+    mLastResort || mRejectedAttempts < mOptions.mMaxRejectedAttempts;
+  return (mAttempts < mMaxAttempts && mayTryMoreHomes) || Widen();
 }
 
 bool
@@ -82,10 +83,10 @@
       mTried.erase(aServer);
       break;
     case Setback::kFull:
-      ++mTurnedAway;
+      ++mRejectedAttempts;
       break;
     case Setback::kDemoted:
-      ++mTurnedAway;
+      ++mRejectedAttempts;
       mDemoted.insert(aServer);
       break;
     case Setback::kOverloaded:
@@ -94,7 +95,7 @@
       return;
   }
   if (mEnded && mInFlight == 0) {
-    mEnded = !MayRepeat(aRetry); // what failed before had relied on it
+    mEnded = !MayRepeat(aRetry); // an earlier failure waited for this one
   }
 }
 
@@ -107,8 +108,7 @@
   mEnded = !MayRepeat(aRetry);
 }
 
-// While another attempt runs it may still make the failure good, and no retry
-// is spent.
+// Spends no retry while another attempt runs, since that one may still succeed.
 bool
 AttemptPlan::MayRepeat(const RetrySource& aRetry)
 {
@@ -119,7 +119,8 @@
 AttemptPlan::MayRace(const RetrySource& aRetry)
 {
   return mRepeatable && !mEnded && mAttempts < mMaxAttempts &&
-         mTurnedAway < mOptions.mMaxTurnedAway && MayReachAnother() && aRetry();
+         mRejectedAttempts < mOptions.mMaxRejectedAttempts &&
+         MayReachAnother() && aRetry();
 }
 
 Outcome
--- a/packages/policy/src/AttemptRegistry.cpp
+++ b/packages/policy/src/AttemptRegistry.cpp
@@ -39,9 +39,9 @@
   if (entry != mEntries.end()) {
     return aId.Sequence() <= entry->second.mWatermark;
   }
-  const auto forgotten = mForgotten.find(aId.Box());
-  return forgotten != mForgotten.end() &&
-         aId.BoxIncarnation() <= forgotten->second;
+  const auto dropped = mDroppedIncarnations.find(aId.Box());
+  return dropped != mDroppedIncarnations.end() &&
+         aId.BoxIncarnation() <= dropped->second;
 }
 
 AttemptRegistry::Entry&
@@ -58,7 +58,7 @@
                         TimePoint aNow)
 {
   Touch(aId, aNow).mRecords[aId.Sequence()].mState = aState;
-  mOrder.push_back(aId);
+  mRecordOrder.push_back(aId);
   Trim();
 }
 
@@ -100,7 +100,7 @@
   if (aAnswer) {
     mAnswerBytes += aAnswer->mBody.size();
     record->mAnswer = std::move(aAnswer);
-    mAnswers.push_back(aId);
+    mAnswerOrder.push_back(aId);
     TrimAnswers();
   }
 }
@@ -131,17 +131,17 @@
 void
 AttemptRegistry::Trim()
 {
-  // Running attempts are bounded by slots; they stay and are passed over.
-  std::size_t toLookAt = mOrder.size();
-  while (mOrder.size() > mOptions.mMaxRecords && toLookAt-- > 0) {
-    const auto id = mOrder.front();
-    mOrder.pop_front();
+  // Records of running attempts stay; their number is bounded by slots.
+  std::size_t unvisited = mRecordOrder.size();
+  while (mRecordOrder.size() > mOptions.mMaxRecords && unvisited-- > 0) {
+    const auto id = mRecordOrder.front();
+    mRecordOrder.pop_front();
     const auto* record = Find(id);
     if (record == nullptr) {
       continue;
     }
     if (record->mState == AttemptState::kRunning) {
-      mOrder.push_back(id);
+      mRecordOrder.push_back(id);
       continue;
     }
     if (record->mAnswer) {
@@ -156,16 +156,16 @@
 void
 AttemptRegistry::TrimAnswers()
 {
-  while (mAnswerBytes > mOptions.mMaxAnswerBytes && !mAnswers.empty()) {
-    auto* record = Find(mAnswers.front());
-    mAnswers.pop_front();
+  while (mAnswerBytes > mOptions.mMaxAnswerBytes && !mAnswerOrder.empty()) {
+    auto* record = Find(mAnswerOrder.front());
+    mAnswerOrder.pop_front();
     if (record != nullptr && record->mAnswer) {
       mAnswerBytes -= record->mAnswer->mBody.size();
       record->mAnswer.reset();
     }
   }
-  while (mAnswers.size() > mOptions.mMaxRecords) {
-    mAnswers.pop_front();
+  while (mAnswerOrder.size() > mOptions.mMaxRecords) {
+    mAnswerOrder.pop_front();
   }
 }
 
@@ -179,13 +179,13 @@
   for (auto it = mEntries.begin(); it != mEntries.end();) {
     const auto& [key, entry] = *it;
     const bool idle = entry.mRecords.empty() &&
-                      aNow - entry.mLastUse > mOptions.mIdleIncarnation;
+                      aNow - entry.mLastUse > mOptions.mIdleIncarnationTimeout;
     if (!idle) {
       ++it;
       continue;
     }
-    auto& forgotten = mForgotten[key.mBox];
-    forgotten = std::max(forgotten, key.mIncarnation);
+    auto& dropped = mDroppedIncarnations[key.mBox];
+    dropped = std::max(dropped, key.mIncarnation);
     it = mEntries.erase(it);
   }
 }
--- a/packages/policy/src/Balancer.cpp
+++ b/packages/policy/src/Balancer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kHalfDraw = 32; // bits
+constexpr int kHalfDrawBits = 32;
 
 double
 Cost(const Candidate& aCandidate, const BalancerOptions& aOptions)
@@ -18,13 +18,13 @@
 }
 
 std::vector<std::size_t>
-WithStanding(std::span<const Candidate> aCandidates,
-             Standing aStanding,
-             bool aSameZoneOnly)
+WithEligibility(std::span<const Candidate> aCandidates,
+                Standing aEligibility,
+                bool aSameZoneOnly)
 {
   std::vector<std::size_t> indices;
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
-    if (aCandidates[i].mStanding == aStanding &&
+    if (aCandidates[i].mStanding == aEligibility &&
         (!aSameZoneOnly || aCandidates[i].mSameZone)) {
       indices.push_back(i);
     }
@@ -35,7 +35,7 @@
 std::vector<std::size_t>
 TrialsDue(std::span<const Candidate> aCandidates, bool aSameZoneOnly)
 {
-  auto indices = WithStanding(aCandidates, Standing::kOpen, aSameZoneOnly);
+  auto indices = WithEligibility(aCandidates, Standing::kOpen, aSameZoneOnly);
   std::erase_if(indices, [&](std::size_t aIndex) {
     return !aCandidates[aIndex].mTrialDue;
   });
@@ -61,20 +61,21 @@
              std::uint64_t aRandom1,
              std::uint64_t aRandom2)
 {
-  auto all = WithStanding(aCandidates, Standing::kOpen, false);
-  auto near = WithStanding(aCandidates, Standing::kOpen, true);
+  auto all = WithEligibility(aCandidates, Standing::kOpen, false);
+  auto sameZone = WithEligibility(aCandidates, Standing::kOpen, true);
   if (all.empty()) {
-    all = WithStanding(aCandidates, Standing::kAvoid, false);
-    near = WithStanding(aCandidates, Standing::kAvoid, true);
+    all = WithEligibility(aCandidates, Standing::kAvoid, false);
+    sameZone = WithEligibility(aCandidates, Standing::kAvoid, true);
   }
   if (all.empty()) {
     return std::nullopt;
   }
-  const auto& home = near.empty() ? all : near;
-  auto best = home[aRandom1 % home.size()];
-  // The upper half of the draw is as good as another one.
-  for (const auto other : { home[(aRandom1 >> kHalfDraw) % home.size()],
-                            all[aRandom2 % all.size()] }) {
+  const auto& preferred = sameZone.empty() ? all : sameZone;
+  auto best = preferred[aRandom1 % preferred.size()];
+  // The upper half of a draw serves as an independent draw.
+  for (const auto other :
+       { preferred[(aRandom1 >> kHalfDrawBits) % preferred.size()],
+         all[aRandom2 % all.size()] }) {
     if (Cost(aCandidates[other], aOptions) <
         Cost(aCandidates[best], aOptions)) {
       best = other;
--- a/packages/policy/src/LatencyModel.cpp
+++ b/packages/policy/src/LatencyModel.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The first answers say less than what is assumed before them.
+// Weight of the initial assumptions, in samples.
 constexpr int kInitialWeight = 3;
 
 double
@@ -29,7 +29,7 @@
 void
 LatencyModel::Observe(Micros aTime)
 {
-  mSamples = std::min(mSamples + 1, mOptions.mMemory);
+  mSamples = std::min(mSamples + 1, mOptions.mMaxSamples);
   const double weight = 1.0 / (mSamples + kInitialWeight);
   const double distance = LogOf(aTime) - mMean;
   mMean += weight * distance;
@@ -46,7 +46,7 @@
 LatencyModel::Survival(Micros aTime) const
 {
   const double sigmas = (LogOf(aTime) - mMean) / Sigma();
-  return std::max(mOptions.mTail,
+  return std::max(mOptions.mMinSurvival,
                   std::erfc(sigmas / std::numbers::sqrt2) / 2.0);
 }
 
--- a/packages/policy/src/LimitGate.cpp
+++ b/packages/policy/src/LimitGate.cpp
@@ -16,10 +16,10 @@
   return std::chrono::duration<double>(aTime).count();
 }
 
-// From half to one and a half times aTime, so that those who are refused
-// together do not return together.
+// From half to one and a half times aSeconds, so that callers rejected together
+// do not repeat their requests together.
 Millis
-Spread(double aSeconds, std::uint64_t aRandom)
+JitteredRetryAfter(double aSeconds, std::uint64_t aRandom)
 {
   constexpr double kRange = 4294967296.0;
   const double draw = static_cast<double>(aRandom >> 32U) / kRange;
@@ -42,19 +42,19 @@
   mBoxes = static_cast<double>(std::max<std::size_t>(1, aBoxes));
 }
 
-// Whether shares hold, also while newer ones are waited for.
+// Whether grants are valid or within the grace period after their expiry.
 bool
-LimitGate::Trusted(TimePoint aNow)
+LimitGate::GrantsUsable(TimePoint aNow)
 {
-  if (mGrantsAt && aNow < *mGrantsAt + mOptions.mGrantsLast) {
+  if (mGrantsAt && aNow < *mGrantsAt + mOptions.mGrantLifetime) {
     return true;
   }
-  mWantsSince = mWantsSince.value_or(aNow);
-  return aNow < *mWantsSince + mOptions.mPatience;
+  mGrantsMissingSince = mGrantsMissingSince.value_or(aNow);
+  return aNow < *mGrantsMissingSince + mOptions.mGrantGracePeriod;
 }
 
-// Shares are summed up from a random start, or entries that see few requests
-// would all refuse their first one.
+// The sums of shares start at a random value. Otherwise, entries that see few
+// requests would all reject their first one.
 LimitGate::State&
 LimitGate::StateOf(const WorkspaceName& aWorkspace,
                    TimePoint aNow,
@@ -64,10 +64,10 @@
   auto [it, isNew] = mStates.try_emplace(aWorkspace.Value());
   auto& state = it->second;
   if (isNew) {
-    state.mUntold.mWorkspace = aWorkspace;
-    state.mPassing.fill(static_cast<double>(aRandom & 0xffffffffU) / kRange);
+    state.mUnreported.mWorkspace = aWorkspace;
+    state.mShareSums.fill(static_cast<double>(aRandom & 0xffffffffU) / kRange);
   }
-  state.mUsedAt = aNow;
+  state.mLastUsedAt = aNow;
   return state;
 }
 
@@ -80,48 +80,56 @@
 {
   auto& state = StateOf(aWorkspace, aNow, aRandom);
   const auto priority = static_cast<std::size_t>(aPriority);
-  ++state.mUntold.mOffered.at(priority);
-  Fill(state, aLimit, aNow);
-  auto verdict = Trusted(aNow) ? OfferShare(state, priority, aNow, aRandom)
-                               : OfferOwn(state, aLimit, aRandom);
-  if (verdict.mAdmitted && state.mWholeTokens < 1.0) {
+  ++state.mUnreported.mOffered.at(priority);
+  Refill(state, aLimit, aNow);
+  auto verdict = GrantsUsable(aNow)
+                   ? OfferByShare(state, priority, aNow, aRandom)
+                   : OfferLocally(state, aLimit, aRandom);
+  if (verdict.mAdmitted && state.mLimitTokens < 1.0) {
     verdict.mAdmitted = false;
     verdict.mRetryAfter =
-      Spread(1.0 / std::max(aLimit.mRatePerSecond, 1e-6), aRandom);
+      JitteredRetryAfter(1.0 / std::max(aLimit.mRatePerSecond, 1e-6), aRandom);
   }
   if (verdict.mAdmitted) {
-    ++state.mUntold.mAdmitted;
-    state.mOwnTokens = std::max(-mOptions.mOwnBurst, state.mOwnTokens - 1.0);
-    state.mWholeTokens -= 1.0;
+    ++state.mUnreported.mAdmitted;
+    state.mLocalTokens =
+      std::max(-mOptions.mLocalBurst, state.mLocalTokens - 1.0);
+    state.mLimitTokens -= 1.0;
   }
   return verdict;
 }
 
-// The own part is kept up while shares hold, too: an entry that loses its
-// collector has no burst to spend on top of what it has just let through.
+// The local bucket is refilled and drained while grants are valid, too, so that
+// an entry that loses its collector has no unused burst to add to what it has
+// just admitted.
 void
-LimitGate::Fill(State& aState, const RequestLimit& aLimit, TimePoint aNow) const
+LimitGate::Refill(State& aState,
+                  const RequestLimit& aLimit,
+                  TimePoint aNow) const
 {
-  const double own = std::max(mOptions.mOwnBurst, aLimit.mBurst / mBoxes);
-  const double whole =
-    aLimit.mBurst + mOptions.mSpareAlone * SpareOf(aLimit, mOptions.mBounds);
-  if (!aState.mFilledAt) {
-    aState.mOwnTokens = own;
-    aState.mWholeTokens = whole;
+  const double localBurst =
+    std::max(mOptions.mLocalBurst, aLimit.mBurst / mBoxes);
+  const double limitBurst = aLimit.mBurst + mOptions.mToleranceShare *
+                                              SpareOf(aLimit, mOptions.mBounds);
+  if (!aState.mRefilledAt) {
+    aState.mLocalTokens = localBurst;
+    aState.mLimitTokens = limitBurst;
   }
-  const double gained = aState.mFilledAt ? aLimit.mRatePerSecond *
-                                             SecondsOf(aNow - *aState.mFilledAt)
-                                         : 0.0;
-  aState.mOwnTokens = std::min(own, aState.mOwnTokens + gained / mBoxes);
-  aState.mWholeTokens = std::min(whole, aState.mWholeTokens + gained);
-  aState.mFilledAt = aNow;
+  const double gained =
+    aState.mRefilledAt
+      ? aLimit.mRatePerSecond * SecondsOf(aNow - *aState.mRefilledAt)
+      : 0.0;
+  aState.mLocalTokens =
+    std::min(localBurst, aState.mLocalTokens + gained / mBoxes);
+  aState.mLimitTokens = std::min(limitBurst, aState.mLimitTokens + gained);
+  aState.mRefilledAt = aNow;
 }
 
 LimitVerdict
-LimitGate::OfferShare(State& aState,
-                      std::size_t aPriority,
-                      TimePoint aNow,
-                      std::uint64_t aRandom) const
+LimitGate::OfferByShare(State& aState,
+                        std::size_t aPriority,
+                        TimePoint aNow,
+                        std::uint64_t aRandom) const
 {
   const double share = aState.mShares.at(aPriority);
   LimitVerdict verdict{ .mAdmitted = true, .mShare = share };
@@ -131,29 +139,30 @@
   if (share >= 1.0) {
     return verdict;
   }
-  auto& passing = aState.mPassing.at(aPriority);
-  passing += share;
-  if (passing >= 1.0) {
-    passing -= 1.0;
+  auto& sum = aState.mShareSums.at(aPriority);
+  sum += share;
+  if (sum >= 1.0) {
+    sum -= 1.0;
     return verdict;
   }
   verdict.mAdmitted = false;
-  // Those who come back in so many seconds ask for no more than there is.
-  verdict.mRetryAfter = Spread(1.0 / std::max(share, 0.01) - 1.0, aRandom);
+  // With this mean delay, repeats arrive no faster than the share admits.
+  verdict.mRetryAfter =
+    JitteredRetryAfter(1.0 / std::max(share, 0.01) - 1.0, aRandom);
   return verdict;
 }
 
 LimitVerdict
-LimitGate::OfferOwn(const State& aState,
-                    const RequestLimit& aLimit,
-                    std::uint64_t aRandom) const
+LimitGate::OfferLocally(const State& aState,
+                        const RequestLimit& aLimit,
+                        std::uint64_t aRandom) const
 {
-  LimitVerdict verdict{ .mAdmitted = aState.mOwnTokens >= 1.0,
+  LimitVerdict verdict{ .mAdmitted = aState.mLocalTokens >= 1.0,
                         .mShare = 1.0 / mBoxes };
   if (!verdict.mAdmitted) {
     const double rate = aLimit.mRatePerSecond / mBoxes;
-    verdict.mRetryAfter =
-      Spread((1.0 - aState.mOwnTokens) / std::max(rate, 1e-6), aRandom);
+    verdict.mRetryAfter = JitteredRetryAfter(
+      (1.0 - aState.mLocalTokens) / std::max(rate, 1e-6), aRandom);
   }
   return verdict;
 }
@@ -166,22 +175,22 @@
     return;
   }
   auto& state = it->second;
-  --state.mUntold.mAdmitted;
-  state.mOwnTokens += 1.0; // the next offer keeps both below their most
-  state.mWholeTokens += 1.0;
+  --state.mUnreported.mAdmitted;
+  state.mLocalTokens += 1.0; // the next Refill caps both buckets
+  state.mLimitTokens += 1.0;
 }
 
 WorkspaceUses
-LimitGate::TakeUse(TimePoint aNow)
+LimitGate::TakeUnreportedUse(TimePoint aNow)
 {
   WorkspaceUses uses;
   for (auto it = mStates.begin(); it != mStates.end();) {
-    auto& untold = it->second.mUntold;
-    const WorkspaceUse nothing{ .mWorkspace = untold.mWorkspace };
-    if (untold != nothing) {
-      uses.push_back(std::exchange(untold, nothing));
+    auto& unreported = it->second.mUnreported;
+    const WorkspaceUse nothing{ .mWorkspace = unreported.mWorkspace };
+    if (unreported != nothing) {
+      uses.push_back(std::exchange(unreported, nothing));
       ++it;
-    } else if (it->second.mUsedAt + mOptions.mForgetAfter < aNow) {
+    } else if (it->second.mLastUsedAt + mOptions.mDropIdleAfter < aNow) {
       it = mStates.erase(it);
     } else {
       ++it;
@@ -196,7 +205,7 @@
                     TimePoint aNow)
 {
   mGrantsAt = aNow;
-  mWantsSince.reset();
+  mGrantsMissingSince.reset();
   for (auto& [name, state] : mStates) {
     if (!aWarming) {
       state.mShares.fill(1.0);
@@ -206,8 +215,8 @@
     auto [it, isNew] = mStates.try_emplace(grant.mWorkspace.Value());
     auto& state = it->second;
     if (isNew) {
-      state.mUntold.mWorkspace = grant.mWorkspace;
-      state.mUsedAt = aNow;
+      state.mUnreported.mWorkspace = grant.mWorkspace;
+      state.mLastUsedAt = aNow;
     }
     for (std::size_t i = 0; i < kPriorityCount; ++i) {
       auto& share = state.mShares.at(i);
@@ -219,7 +228,7 @@
 std::string
 LimitGate::Dump() const
 {
-  std::string text = mWantsSince ? "waiting_for_shares" : "shares";
+  std::string text = mGrantsMissingSince ? "waiting_for_shares" : "shares";
   for (const auto& [name, state] : mStates) {
     const auto least =
       *std::min_element(state.mShares.begin(), state.mShares.end());
--- a/packages/policy/src/RetryBudget.cpp
+++ b/packages/policy/src/RetryBudget.cpp
@@ -14,7 +14,7 @@
 double
 RetryBudget::Limit() const
 {
-  return mOptions.mBurst + mOptions.mSavedShare * mRecent;
+  return mOptions.mBurst + mOptions.mSavedShare * mRecentFirstAttempts;
 }
 
 void
@@ -28,9 +28,10 @@
 RetryBudget::OnFirstAttempt(TimePoint aNow)
 {
   using Seconds = std::chrono::duration<double>;
-  const Seconds age = std::max(Micros(0), aNow - mRecentAt);
-  mRecent = mRecent * std::exp(-age / Seconds(mOptions.mWindow)) + 1.0;
-  mRecentAt = aNow;
+  const Seconds age = std::max(Micros(0), aNow - mLastFirstAttemptAt);
+  mRecentFirstAttempts =
+    mRecentFirstAttempts * std::exp(-age / Seconds(mOptions.mWindow)) + 1.0;
+  mLastFirstAttemptAt = aNow;
   mTokens = std::min(Limit(), mTokens + mOptions.mShare);
 }
 
--- a/packages/policy/src/RetryShare.cpp
+++ b/packages/policy/src/RetryShare.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Of the bound; see UsedOf.
-constexpr double kUsedShare = 0.7;
-constexpr double kUsedBurst = 0.8;
-// Of the share, kept for spells of failures rather than spent as it comes.
-// Both together stay within the share of any window.
-constexpr double kSavedPart = 0.35;
+// Fractions of the bound's share and burst that homes use; see UsedOf.
+constexpr double kUsableShare = 0.7;
+constexpr double kUsableBurst = 0.8;
+// Fraction of the share that is saved for bursts of failures; the rest accrues
+// with each request. Both together stay within the share of any window.
+constexpr double kSavedFraction = 0.35;
 
 } // namespace
 
@@ -26,8 +26,8 @@
 RetryBound
 UsedOf(const RetryBound& aFleet)
 {
-  return { .mShare = kUsedShare * aFleet.mShare,
-           .mBurst = kUsedBurst * aFleet.mBurst,
+  return { .mShare = kUsableShare * aFleet.mShare,
+           .mBurst = kUsableBurst * aFleet.mBurst,
            .mWindow = aFleet.mWindow };
 }
 
@@ -35,9 +35,9 @@
 HomeShareOf(const RetryBound& aBound, std::size_t aHomes)
 {
   const auto homes = static_cast<double>(std::max<std::size_t>(1, aHomes));
-  return { .mShare = (1.0 - kSavedPart) * aBound.mShare,
+  return { .mShare = (1.0 - kSavedFraction) * aBound.mShare,
            .mBurst = aBound.mBurst / homes,
-           .mSavedShare = kSavedPart * aBound.mShare,
+           .mSavedShare = kSavedFraction * aBound.mShare,
            .mWindow = aBound.mWindow };
 }
 
--- a/packages/policy/src/Subset.cpp
+++ b/packages/policy/src/Subset.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Places are unlike those of other uses of the hash.
+// Keeps positions independent of other uses of the hash.
 constexpr std::uint64_t kPlaceSeed = 0x737562;
 
 std::vector<std::size_t>
@@ -27,9 +27,9 @@
   return ring;
 }
 
-// The ring of servers, turned so that the arcs of all entries cover it evenly.
+// Rotates the ring so that the arcs of all entries cover it evenly.
 std::vector<std::size_t>
-Turned(std::vector<std::size_t> aRing, std::size_t aRank, std::size_t aEntries)
+Rotated(std::vector<std::size_t> aRing, std::size_t aRank, std::size_t aEntries)
 {
   if (!aRing.empty()) {
     const auto first =
@@ -56,10 +56,10 @@
              const SubsetOptions& aOptions)
 {
   const auto near =
-    Turned(OnRing(aServers, true), aEntry.mRank, aEntry.mEntries);
+    Rotated(OnRing(aServers, true), aEntry.mRank, aEntry.mEntries);
   const auto far =
-    Turned(OnRing(aServers, false), aEntry.mRank, aEntry.mEntries);
-  // What one side lacks, the other makes up for.
+    Rotated(OnRing(aServers, false), aEntry.mRank, aEntry.mEntries);
+  // If one group has too few servers, more of the other fill the subset.
   const auto all = aOptions.mOwnZone + aOptions.mOtherZones;
   const auto fromNear = std::min(
     near.size(), std::max(aOptions.mOwnZone, all - std::min(all, far.size())));
--- a/packages/policy/src/UsageCollector.cpp
+++ b/packages/policy/src/UsageCollector.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Of what may pass, so much goes to all priorities alike; the more urgent ones
-// take what they need of the rest.
-constexpr double kCommonPart = 0.5;
-// However far a limit was passed, so much of its rate stays.
-constexpr double kLeastRate = 0.2;
+// Fraction of the admitted share that all priorities get alike; the rest goes
+// to the most urgent ones first.
+constexpr double kCommonFraction = 0.5;
+// Fraction of the rate that stays available however far a limit was exceeded.
+constexpr double kMinRateFraction = 0.2;
 
 void
 Add(const WorkspaceUse& aUse, WorkspaceUse& aSum)
@@ -47,8 +47,8 @@
 {
   auto [it, isNew] = mStates.try_emplace(aWorkspace.Value());
   if (isNew) {
-    it->second.mZone.mWorkspace = aWorkspace;
-    it->second.mNew.mWorkspace = aWorkspace;
+    it->second.mZoneUnsent.mWorkspace = aWorkspace;
+    it->second.mUnprocessed.mWorkspace = aWorkspace;
   }
   return it->second;
 }
@@ -58,8 +58,8 @@
 {
   for (const auto& use : aUses) {
     auto& state = StateOf(use.mWorkspace);
-    Add(use, state.mZone);
-    Add(use, state.mNew);
+    Add(use, state.mZoneUnsent);
+    Add(use, state.mUnprocessed);
   }
 }
 
@@ -67,7 +67,7 @@
 UsageCollector::OnZoneUse(const WorkspaceUses& aUses)
 {
   for (const auto& use : aUses) {
-    Add(use, StateOf(use.mWorkspace).mNew);
+    Add(use, StateOf(use.mWorkspace).mUnprocessed);
   }
 }
 
@@ -76,9 +76,9 @@
 {
   WorkspaceUses uses;
   for (auto& [name, state] : mStates) {
-    const WorkspaceUse nothing{ .mWorkspace = state.mZone.mWorkspace };
-    if (state.mZone != nothing) {
-      uses.push_back(std::exchange(state.mZone, nothing));
+    const WorkspaceUse nothing{ .mWorkspace = state.mZoneUnsent.mWorkspace };
+    if (state.mZoneUnsent != nothing) {
+      uses.push_back(std::exchange(state.mZoneUnsent, nothing));
     }
   }
   return uses;
@@ -87,7 +87,7 @@
 bool
 UsageCollector::Warming(TimePoint aNow) const
 {
-  return !mSince || aNow < *mSince + mOptions.mWarmUp;
+  return !mActiveSince || aNow < *mActiveSince + mOptions.mWarmUp;
 }
 
 void
@@ -95,61 +95,64 @@
                         const RequestLimit& aLimit,
                         TimePoint aNow) const
 {
-  const WorkspaceUse nothing{ .mWorkspace = aState.mNew.mWorkspace };
-  if (!aState.mKnown) {
-    aState.mKnown = true;
+  const WorkspaceUse nothing{ .mWorkspace = aState.mUnprocessed.mWorkspace };
+  if (!aState.mInitialized) {
+    aState.mInitialized = true;
     aState.mLevel =
-      mPart * mOptions.mSpareAtStart * SpareOf(aLimit, mOptions.mBounds);
-    aState.mAt = aNow;
-    aState.mUsedAt = aNow;
+      mPart * mOptions.mToleranceAtStart * SpareOf(aLimit, mOptions.mBounds);
+    aState.mUpdatedAt = aNow;
+    aState.mLastUsedAt = aNow;
   }
-  if (aState.mNew != nothing) {
-    aState.mUsedAt = aNow;
+  if (aState.mUnprocessed != nothing) {
+    aState.mLastUsedAt = aNow;
   }
-  const double passed = SecondsOf(aNow - aState.mAt);
-  aState.mAt = aNow;
+  const double passed = SecondsOf(aNow - aState.mUpdatedAt);
+  aState.mUpdatedAt = aNow;
   aState.mLevel =
     std::min(mPart * aLimit.mBurst,
              aState.mLevel + passed * mPart * aLimit.mRatePerSecond) -
-    aState.mNew.mAdmitted;
+    aState.mUnprocessed.mAdmitted;
   const double horizon = SecondsOf(mOptions.mHorizon);
-  const double kept = std::exp(-passed / horizon);
+  const double decay = std::exp(-passed / horizon);
   for (std::size_t i = 0; i < kPriorityCount; ++i) {
     auto& demand = aState.mDemand.at(i);
-    demand = demand * kept + aState.mNew.mOffered.at(i) / horizon;
+    demand = demand * decay + aState.mUnprocessed.mOffered.at(i) / horizon;
   }
-  aState.mNew = nothing;
+  aState.mUnprocessed = nothing;
 }
 
-// Of what is spare, for a workspace that sends so many times its rate.
+// Share of the tolerance for a workspace that sends aRateMultiple times its
+// rate.
 double
-UsageCollector::SpareShare(double aTimes) const
+UsageCollector::ToleranceShareAt(double aRateMultiple) const
 {
-  constexpr double kLittle = 1.5;
-  constexpr double kMuch = 3.0;
-  const double part =
-    std::clamp((aTimes - kLittle) / (kMuch - kLittle), 0.0, 1.0);
-  return mOptions.mSpareForLittle +
-         part * (mOptions.mSpareForMuch - mOptions.mSpareForLittle);
+  constexpr double kLowExcess = 1.5;
+  constexpr double kHighExcess = 3.0;
+  const double part = std::clamp(
+    (aRateMultiple - kLowExcess) / (kHighExcess - kLowExcess), 0.0, 1.0);
+  return mOptions.mToleranceAtLowExcess +
+         part *
+           (mOptions.mToleranceAtHighExcess - mOptions.mToleranceAtLowExcess);
 }
 
 std::optional<WorkspaceGrant>
 UsageCollector::GrantOf(State& aState, const RequestLimit& aLimit) const
 {
   const double horizon = SecondsOf(mOptions.mHorizon);
-  const double rated = mPart * aLimit.mRatePerSecond * horizon;
+  const double rateAllowance = mPart * aLimit.mRatePerSecond * horizon;
   const double demand = SumOf(aState.mDemand) * horizon;
-  const double spare = mPart * SpareShare(demand / std::max(rated, 1e-9)) *
-                       SpareOf(aLimit, mOptions.mBounds);
-  const double room =
-    std::max(kLeastRate * rated, aState.mLevel + spare + rated);
+  const double tolerance =
+    mPart * ToleranceShareAt(demand / std::max(rateAllowance, 1e-9)) *
+    SpareOf(aLimit, mOptions.mBounds);
+  const double room = std::max(kMinRateFraction * rateAllowance,
+                               aState.mLevel + tolerance + rateAllowance);
   aState.mShare = demand <= room ? 1.0 : room / demand;
   if (aState.mShare >= 1.0) {
     return std::nullopt;
   }
-  const double common = kCommonPart * aState.mShare;
+  const double common = kCommonFraction * aState.mShare;
   double left = room - common * demand;
-  WorkspaceGrant grant{ .mWorkspace = aState.mNew.mWorkspace };
+  WorkspaceGrant grant{ .mWorkspace = aState.mUnprocessed.mWorkspace };
   for (std::size_t i = 0; i < kPriorityCount; ++i) {
     const double wanted = aState.mDemand.at(i) * horizon;
     const double given = std::min(left, (1.0 - common) * wanted);
@@ -160,15 +163,16 @@
 }
 
 WorkspaceGrants
-UsageCollector::Grant(const LimitSource& aLimits, TimePoint aNow)
+UsageCollector::Grant(const LimitLookup& aLimits, TimePoint aNow)
 {
   WorkspaceGrants grants;
-  mSince = Idle() ? std::nullopt : std::optional(mSince.value_or(aNow));
+  mActiveSince =
+    Idle() ? std::nullopt : std::optional(mActiveSince.value_or(aNow));
   for (auto it = mStates.begin(); it != mStates.end();) {
     auto& state = it->second;
-    const auto limit = aLimits(state.mNew.mWorkspace);
-    if (!limit ||
-        (state.mKnown && state.mUsedAt + mOptions.mForgetAfter < aNow)) {
+    const auto limit = aLimits(state.mUnprocessed.mWorkspace);
+    if (!limit || (state.mInitialized &&
+                   state.mLastUsedAt + mOptions.mDropIdleAfter < aNow)) {
       it = mStates.erase(it);
       continue;
     }
--- a/packages/policy/src/UseReporter.cpp
+++ b/packages/policy/src/UseReporter.cpp
@@ -7,37 +7,38 @@
 
 namespace {
 
-// In a row, after which something is told again.
-constexpr int kTellingFailures = 1;
+// Unconfirmed counts are sent again after up to this many consecutive missing
+// replies.
+constexpr int kMaxResends = 1;
 
 } // namespace
 
 UseReporter::UseReporter(UseReporterOptions aOptions)
   : mOptions(aOptions)
-  , mAvoidNext(aOptions.mAvoidFor)
+  , mNextAvoidFor(aOptions.mAvoidFor)
 {
 }
 
 void
-UseReporter::TellAgain()
+UseReporter::QueueResend()
 {
-  for (auto* uses : { &mAskedFor, &mSince }) {
-    mAgain.insert(mAgain.end(), uses->begin(), uses->end());
+  for (auto* uses : { &mAwaitingReply, &mSentAfterRequest }) {
+    mResend.insert(mResend.end(), uses->begin(), uses->end());
     uses->clear();
   }
 }
 
-// What the earlier collector has not confirmed may be lost with it.
+// Counts that the previous collector has not confirmed may be lost with it.
 void
-UseReporter::MoveTo(const BoxName& aCollector)
+UseReporter::SwitchTo(const BoxName& aCollector)
 {
   if (mCollector == aCollector) {
     return;
   }
   mCollector = aCollector;
-  mAsked = false;
-  mAskedAt.reset();
-  TellAgain();
+  mReplyPending = false;
+  mRequestedAt.reset();
+  QueueResend();
 }
 
 std::optional<UseReport>
@@ -49,21 +50,24 @@
     return std::nullopt;
   }
   const bool avoid = aNow < mAvoidUntil && aCollectors.size() > 1;
-  MoveTo(aCollectors.at(avoid ? 1 : 0));
-  UseReport report{ .mCollector = mCollector, .mUses = aGate.TakeUse(aNow) };
+  SwitchTo(aCollectors.at(avoid ? 1 : 0));
+  UseReport report{ .mCollector = mCollector,
+                    .mUses = aGate.TakeUnreportedUse(aNow) };
   if (!report.mUses.empty()) {
-    mUsedAt = aNow;
-    mSince.insert(mSince.end(), report.mUses.begin(), report.mUses.end());
+    mLastUsedAt = aNow;
+    mSentAfterRequest.insert(
+      mSentAfterRequest.end(), report.mUses.begin(), report.mUses.end());
   }
-  report.mUses.insert(report.mUses.end(), mAgain.begin(), mAgain.end());
-  mAgain.clear();
-  const bool resting = !mUsedAt || *mUsedAt + mOptions.mRestAfter < aNow;
-  const bool due = !mAskedAt || *mAskedAt + mOptions.mReplyEvery <= aNow;
-  if (!mAsked && due && !resting) {
-    mAsked = true;
-    mAskedAt = aNow;
-    report.mQuestion = ++mQuestions;
-    mAskedFor = std::exchange(mSince, {});
+  report.mUses.insert(report.mUses.end(), mResend.begin(), mResend.end());
+  mResend.clear();
+  const bool idle = !mLastUsedAt || *mLastUsedAt + mOptions.mIdleAfter < aNow;
+  const bool due =
+    !mRequestedAt || *mRequestedAt + mOptions.mReplyInterval <= aNow;
+  if (!mReplyPending && due && !idle) {
+    mReplyPending = true;
+    mRequestedAt = aNow;
+    report.mQuestion = ++mLastReplyToken;
+    mAwaitingReply = std::exchange(mSentAfterRequest, {});
   }
   if (report.mUses.empty() && report.mQuestion == 0) {
     return std::nullopt;
@@ -72,30 +76,31 @@
 }
 
 void
-UseReporter::OnReply(std::uint64_t aQuestion, bool aReplied, TimePoint aNow)
+UseReporter::OnReply(std::uint64_t aReplyToken, bool aReplied, TimePoint aNow)
 {
-  if (!mAsked || aQuestion != mQuestions) {
-    return; // of a collector that was left meanwhile
+  if (!mReplyPending || aReplyToken != mLastReplyToken) {
+    return; // from a collector that is no longer in use
   }
-  mAsked = false;
+  mReplyPending = false;
   const bool isFirst = mAvoidUntil <= aNow;
   if (aReplied) {
-    mAskedFor.clear();
+    mAwaitingReply.clear();
     mFailures = 0;
-    mAvoidNext = isFirst ? mOptions.mAvoidFor : mAvoidNext;
+    mNextAvoidFor = isFirst ? mOptions.mAvoidFor : mNextAvoidFor;
     return;
   }
-  // With both collectors silent it is replies that get lost, or everything.
-  if (++mFailures <= kTellingFailures) {
-    TellAgain();
+  // If neither collector replies, either replies are lost or all messages;
+  // sending the counts again would not help.
+  if (++mFailures <= kMaxResends) {
+    QueueResend();
   } else {
-    mAskedFor.clear();
-    mSince.clear();
+    mAwaitingReply.clear();
+    mSentAfterRequest.clear();
   }
-  mAskedAt.reset();
-  mAvoidUntil = isFirst ? aNow + mAvoidNext : aNow;
+  mRequestedAt.reset();
+  mAvoidUntil = isFirst ? aNow + mNextAvoidFor : aNow;
   if (isFirst) {
-    mAvoidNext = std::min(mAvoidNext * 2, mOptions.mMaxAvoidFor);
+    mNextAvoidFor = std::min(mNextAvoidFor * 2, mOptions.mMaxAvoidFor);
   }
 }
 
--- a/packages/policy/tests/AttemptPlanTest.cpp
+++ b/packages/policy/tests/AttemptPlanTest.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-TEST_CASE("A request that may run only once ends with its first unknown")
+TEST_CASE("A request that is not repeatable ends with its first unknown "
+          "outcome")
 {
   AttemptPlan plan(false);
   plan.OnSent(Server(1));
@@ -31,9 +32,10 @@
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kUnknown);
 }
 
-TEST_CASE("When every server is demoted one of them serves as the last resort")
+TEST_CASE("When every server is demoted, one may be used as the last resort")
 {
-  // Found in reading: nine demoted servers used up all attempts in refusals.
+  // Guards against rejections by demoted servers using up all attempts, so that
+  // none is left for the last resort.
   AttemptPlan plan(false);
   for (int i = 0; plan.MayAttempt() && !plan.LastResort(); ++i) {
     plan.OnSent(Server(i));
@@ -44,7 +46,8 @@
   CHECK(plan.MayAttempt());
 }
 
-TEST_CASE("Overload elsewhere is tried only within the retry budget")
+TEST_CASE("After a server rejects a request, another one is tried only within "
+          "the retry budget")
 {
   AttemptPlan plan(true);
   plan.OnSent(Server(1));
@@ -53,7 +56,7 @@
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kNotRun);
 }
 
-TEST_CASE("What a plan allows never runs twice what may run once")
+TEST_CASE("A request that is not repeatable never runs twice")
 {
   // The oracle counts the attempts that may have been run.
   const bool ok = rc::check([] {
@@ -94,10 +97,10 @@
   CHECK(ok);
 }
 
-TEST_CASE("The last server that may get a request is not given up for another")
+TEST_CASE("An attempt at the last allowed server is not hedged")
 {
-  // Found on the users' days: a slow second attempt was left although nowhere
-  // else could be tried, and its answer was lost.
+  // Guards against abandoning a slow second attempt when no other server may be
+  // tried, which loses its answer.
   const RetrySource retry = [] { return true; };
   AttemptPlan plan(true, { .mMaxServers = 2 });
   plan.OnSent(BackendServerName("a"));
@@ -109,7 +112,7 @@
   CHECK_FALSE(plan.MayRace(retry));
 }
 
-TEST_CASE("Homes that refuse do not count as servers that got the request")
+TEST_CASE("Attempts rejected by their home do not count as servers reached")
 {
   const RetrySource retry = [] { return true; };
   AttemptPlan plan(false, { .mMaxServers = 1 });
@@ -125,19 +128,20 @@
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kNotRun);
 }
 
-TEST_CASE("A request that four homes turn away asks no fifth")
+TEST_CASE(
+  "A request that four homes reject for lack of capacity tries no fifth")
 {
   AttemptPlan plan(false, { .mMaxAttempts = 12 });
-  int asked = 0;
-  for (; plan.MayAttempt(); ++asked) {
-    plan.OnSent(Server(asked));
-    plan.OnNotRun(Server(asked), Setback::kFull, kAlways);
+  int attempts = 0;
+  for (; plan.MayAttempt(); ++attempts) {
+    plan.OnSent(Server(attempts));
+    plan.OnNotRun(Server(attempts), Setback::kFull, kAlways);
   }
-  CHECK(asked == 4);
+  CHECK(attempts == 4);
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kNotRun);
 }
 
-TEST_CASE("Of two attempts that race, one that fails spends no retry")
+TEST_CASE("A failed attempt spends no retry while a hedged one is running")
 {
   int retries = 0;
   const RetrySource retry = [&] { return ++retries > 0; };
@@ -147,13 +151,13 @@
   plan.OnSent(Server(2));
   plan.OnUnknown(retry);
   CHECK(retries == 1);
-  CHECK_FALSE(plan.MayRace(retry)); // the other one decides
+  CHECK_FALSE(plan.MayRace(retry)); // the other attempt decides
   plan.OnAnswered(false, retry);
   CHECK(retries == 1);
   CHECK_FALSE(plan.MayAttempt());
 }
 
-TEST_CASE("No more servers race than may get the request")
+TEST_CASE("Hedged attempts stay within the servers that may be reached")
 {
   AttemptPlan plan(true, { .mMaxServers = 2 });
   plan.OnSent(Server(1));
--- a/packages/policy/tests/AttemptRegistryTest.cpp
+++ b/packages/policy/tests/AttemptRegistryTest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("A revoked attempt that arrives late is refused")
+TEST_CASE("An attempt that arrives after its revocation is not admitted")
 {
   AttemptRegistry registry;
   CHECK(registry.Revoke(Id(5), kStart).mState == AttemptState::kNotRun);
@@ -35,7 +35,7 @@
   CHECK(registry.Revoke(Id(5), kStart).mState == AttemptState::kFinished);
 }
 
-TEST_CASE("Answers are kept within their bytes")
+TEST_CASE("Kept answers stay within their byte limit")
 {
   AttemptRegistry registry({ .mMaxAnswerBytes = 100 });
   for (std::uint64_t i = 1; i <= 10; ++i) {
@@ -50,22 +50,23 @@
   CHECK(registry.Query(Id(1)).mState == AttemptState::kFinished);
 }
 
-TEST_CASE("An entry's life that was forgotten for idleness stays refused")
+TEST_CASE("Attempts of an entry incarnation dropped as idle stay stale")
 {
-  // Found by the fuzzing below: the watermark went with the forgotten life.
+  // Guards against dropping an idle incarnation together with its watermark,
+  // after which its attempts would be admitted again.
   AttemptRegistry registry({ .mMaxRecords = 1 });
   registry.Admit(Id(1, 1), kStart);
   registry.Finish(Id(1, 1), Outcome::kRun, nullptr);
-  registry.Admit(Id(1, 2), kStart); // pushes the record of the first life out
+  registry.Admit(Id(1, 2), kStart); // evicts the first incarnation's record
   const auto later = kStart + Millis(2 * 3'600'000);
   CHECK(registry.Admit(Id(1, 1), later) == AdmitVerdict::kStale);
   CHECK(registry.Admit(Id(2, 1), later) == AdmitVerdict::kStale);
   CHECK(registry.Admit(Id(2, 2), later) == AdmitVerdict::kAdmitted);
 }
 
-TEST_CASE("No attempt runs twice and no not-run is said of one that runs")
+TEST_CASE("No attempt runs twice, and none that runs is reported as not run")
 {
-  // The oracle keeps everything for ever; the registry keeps four records.
+  // The oracle keeps every record; the registry keeps four.
   const bool ok = rc::check([] {
     AttemptRegistry registry({ .mMaxRecords = 4 });
     std::set<AttemptId> handedOver;
--- a/packages/policy/tests/BalancerTest.cpp
+++ b/packages/policy/tests/BalancerTest.cpp
@@ -6,7 +6,8 @@
 
 using namespace porttiller;
 
-TEST_CASE("ChooseServer stays in the zone until its load costs more")
+TEST_CASE("ChooseServer prefers its zone until its load outweighs the zone "
+          "penalty")
 {
   std::array<Candidate, 3> servers;
   servers[1].mSameZone = true;
@@ -22,7 +23,7 @@
   CHECK(away > 40);
 }
 
-TEST_CASE("ChooseServer uses avoided servers only when no other is left")
+TEST_CASE("ChooseServer uses avoided servers only when none is open")
 {
   std::array<Candidate, 3> servers;
   servers[0].mStanding = Standing::kAvoid;
@@ -35,10 +36,10 @@
   CHECK_FALSE(ChooseServer(servers, {}, 3, 5).has_value());
 }
 
-TEST_CASE("ChooseServer keeps away from boxes that it cannot reach")
+TEST_CASE("ChooseServer never chooses a server on an unreachable box")
 {
-  // Found on a day with boxes gone for good: entries gave each of them 150 ms
-  // of every request whose other servers were all avoided.
+  // Guards against choosing an unreachable server over an avoided one, which
+  // costs the request a timeout of 150 ms for each dead box.
   std::array<Candidate, 3> servers;
   servers[0].mStanding = Standing::kUnreachable;
   servers[1].mStanding = Standing::kAvoid;
--- a/packages/policy/tests/LatencyModelTest.cpp
+++ b/packages/policy/tests/LatencyModelTest.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr int kMany = 2000;
+constexpr int kSampleCount = 2000;
 constexpr double kMedianMs = 430.0;
 constexpr double kSigma = 0.7;
-constexpr double kNinth = 1.2816; // one in ten lies above
+constexpr double kSigmasOf90th = 1.2816; // one in ten lies above
 
 Micros
 Draw(std::mt19937_64& aGenerator)
@@ -22,27 +22,27 @@
 
 } // namespace
 
-TEST_CASE("The model finds the quantiles of the times that it is told")
+TEST_CASE("The model estimates the quantiles of the observed times")
 {
   std::mt19937_64 generator(5);
   LatencyModel model;
-  for (int i = 0; i < kMany; ++i) {
+  for (int i = 0; i < kSampleCount; ++i) {
     model.Observe(Draw(generator));
   }
-  const auto ninth = model.TimeAt(kNinth);
+  const auto p90 = model.TimeAt(kSigmasOf90th);
   int above = 0;
-  for (int i = 0; i < kMany; ++i) {
-    above += Draw(generator) > ninth ? 1 : 0;
+  for (int i = 0; i < kSampleCount; ++i) {
+    above += Draw(generator) > p90 ? 1 : 0;
   }
-  CHECK(above > kMany * 0.05);
-  CHECK(above < kMany * 0.15);
-  CHECK(model.Survival(ninth) == doctest::Approx(0.1).epsilon(0.01));
+  CHECK(above > kSampleCount * 0.05);
+  CHECK(above < kSampleCount * 0.15);
+  CHECK(model.Survival(p90) == doctest::Approx(0.1).epsilon(0.01));
 }
 
-TEST_CASE("No request outlasts what the tail allows, and none is ruled out")
+TEST_CASE("Survival stays between the minimum and 1")
 {
   LatencyModel model;
-  for (int i = 0; i < kMany; ++i) {
+  for (int i = 0; i < kSampleCount; ++i) {
     model.Observe(Micros(100'000));
   }
   CHECK(model.Survival(Micros(0)) == doctest::Approx(1.0));
--- a/packages/policy/tests/RetryBudgetTest.cpp
+++ b/packages/policy/tests/RetryBudgetTest.cpp
@@ -25,11 +25,11 @@
   CHECK(retries <= 102);
 }
 
-TEST_CASE("RetryBudget lets a busy entry save up for a spell of failures")
+TEST_CASE("RetryBudget lets a busy entry save retries for a burst of failures")
 {
-  // Found on the grown fleets: the burst of a fleet of 79, dealt out, is less
-  // than two retries for each entry, and 470 requests of a calm day ended
-  // after one attempt with most of the fleet's budget unused.
+  // Guards against a budget without saved retries: a fleet's burst divided
+  // among 79 entries leaves each less than two, so that many requests end after
+  // one attempt although most of the fleet's budget is unused.
   RetryBudget budget({ .mShare = 0.1, .mBurst = 1.5, .mSavedShare = 0.05 });
   auto now = kStart;
   for (int i = 0; i < 500; ++i) {
@@ -38,7 +38,7 @@
   }
   CHECK(budget.Affords(6));
   CHECK_FALSE(budget.Affords(7));
-  // What a quiet hour leaves is not saved.
+  // Saved retries decay during an hour without requests.
   budget.OnFirstAttempt(now + Millis(3'600'000));
   CHECK_FALSE(budget.Affords(2));
 }
@@ -59,8 +59,8 @@
       now += Millis(random() % static_cast<std::uint64_t>(maxGap));
       budget.OnFirstAttempt(now);
       firsts.push_back(now);
-      const bool spell = i / 300 % 2 == 1;
-      while (spell && random() % 2 == 0 && budget.TryRetry()) {
+      const bool failing = i / 300 % 2 == 1;
+      while (failing && random() % 2 == 0 && budget.TryRetry()) {
         retries.push_back(now);
       }
       const auto recent = [&](const std::deque<TimePoint>& aTimes, int aSpans) {
@@ -72,7 +72,7 @@
       if (i % 50 != 0) {
         continue;
       }
-      // What was saved comes from requests of up to a few windows before.
+      // Saved retries come from requests of up to a few windows before.
       const double allowed = options.mBurst +
                              options.mShare * recent(firsts, 1) +
                              options.mSavedShare * recent(firsts, 6);
--- a/packages/policy/tests/SlotQueueTest.cpp
+++ b/packages/policy/tests/SlotQueueTest.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("A full queue gives up the lowest priority first, at once")
+TEST_CASE("A full queue sheds the lowest priority first, immediately")
 {
   SlotQueue queue({ .mSlots = 1, .mQueuePerSlot = 2.0 });
   CHECK(queue.Offer(1, Priority::kNormal, kLate, kStart).mVerdict ==
@@ -30,7 +30,7 @@
   CHECK(shed.mRetryAfter > Millis(0));
 }
 
-TEST_CASE("A request that cannot be reached before its deadline is shed")
+TEST_CASE("A request that cannot get a slot before its deadline is shed")
 {
   SlotQueue queue({ .mSlots = 1, .mInitialServiceTime = Micros(50'000) });
   queue.Offer(1, Priority::kNormal, kLate, kStart);
@@ -39,7 +39,7 @@
     OfferVerdict::kShed);
 }
 
-TEST_CASE("Slots are never exceeded and every waiting ticket is named once")
+TEST_CASE("Slots are never exceeded and every waiting ticket leaves once")
 {
   const bool ok = rc::check([] {
     const int slots = Draw(1, 4);
@@ -93,7 +93,7 @@
   const TimePoint now{ Millis(1000) };
   CHECK(queue.Offer(1, Priority::kNormal, now + Millis(1), now).mVerdict ==
         OfferVerdict::kStart);
-  // 100 ms until the slot is free, and 50 ms of service at least.
+  // 100 ms until the slot is free, plus at least 50 ms of service.
   CHECK(queue.Offer(2, Priority::kNormal, now + Millis(140), now).mVerdict ==
         OfferVerdict::kShed);
   CHECK(queue.Offer(3, Priority::kNormal, now + Millis(200), now).mVerdict ==
@@ -103,7 +103,7 @@
   CHECK(late.mExpired.size() == 1);
 }
 
-TEST_CASE("A waiting request is given up once it could not end in time")
+TEST_CASE("LatestStart leaves the minimum service time before the deadline")
 {
   SlotQueue queue({ .mSlots = 1,
                     .mInitialServiceTime = Millis(100),
--- a/packages/policy/tests/SubsetTest.cpp
+++ b/packages/policy/tests/SubsetTest.cpp
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("Every server is in as many subsets as any other of its zone")
+TEST_CASE("Servers are in nearly equal numbers of subsets")
 {
   const Fleet fleet{ MakeNames(350, 5, "e"), MakeNames(250, 5, "s") };
   const auto uses = UsesOf(fleet);
@@ -90,13 +90,14 @@
     uses.begin(), uses.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.second < aRight.second;
     });
-  // 70 entries of its own zone with 12 each over 50 servers: 16 or 17 times.
-  // 70 entries of each other zone with 8 over 200: 2 or 3 times, four times.
+  // From its own zone: 70 entries x 12 servers / 50 servers = 16 or 17 uses.
+  // From each of 4 other zones: 70 entries x 8 / 200 servers = 2 or 3 uses.
   CHECK(least->second >= 24);
   CHECK(most->second <= 29);
 }
 
-TEST_CASE("Two entries reach much of a large service, 200 all of a small one")
+TEST_CASE("Two entries share no server of a large service, and 200 entries use "
+          "all of a small one")
 {
   const Fleet few{ MakeNames(2, 1, "e"), MakeNames(200, 1, "s") };
   CHECK(UsesOf(few).size() == 40);
@@ -106,7 +107,7 @@
   }
 }
 
-TEST_CASE("A service of one other zone fills the whole subset")
+TEST_CASE("A service in only one zone fills the whole subset")
 {
   const Fleet fleet{ { "z0/e0" }, MakeNames(100, 1, "s") };
   CHECK(SubsetOf("z0/e0", fleet).size() == 20);
@@ -114,7 +115,7 @@
   CHECK(SubsetOf("z1/e0", away).size() == 20);
 }
 
-TEST_CASE("One more server, or one entry less, changes little of a subset")
+TEST_CASE("Adding a server or removing an entry changes few of a subset")
 {
   const Fleet fleet{ MakeNames(350, 5, "e"), MakeNames(250, 5, "s") };
   auto more = fleet;
@@ -136,7 +137,7 @@
   }
 }
 
-TEST_CASE("Behind the subset stands every other server once")
+TEST_CASE("The order lists every server once, also beyond the subset")
 {
   std::vector<SubsetServer> servers;
   for (std::uint64_t i = 0; i < 90; ++i) {
--- a/packages/policy/tests/WorkspaceLimitTest.cpp
+++ b/packages/policy/tests/WorkspaceLimitTest.cpp
@@ -1,5 +1,5 @@
-// The parts that keep workspaces' limits, one by one; whole fleets of them are
-// tried in bench/tests/LimitFleetTest.cpp.
+// Unit tests of the classes that enforce the limits of workspaces;
+// bench/tests/LimitFleetTest.cpp tests them in simulated fleets.
 #include "porttiller/policy/LimitGate.h"
 #include "porttiller/policy/UsageCollector.h"
 #include "porttiller/policy/UseReporter.h"
@@ -44,7 +44,7 @@
   return sum;
 }
 
-// Offers aPerSecond and admits them all, as told every tick.
+// Reports aPerTick at each tick for aTime; returns the last grants.
 WorkspaceGrants
 Feed(UsageCollector& aCollector,
      const WorkspaceUse& aPerTick,
@@ -62,22 +62,22 @@
 
 } // namespace
 
-TEST_CASE("LimitGate lets everything pass that no collector holds back")
+TEST_CASE("LimitGate admits workspaces without a grant")
 {
   LimitGate gate;
   gate.SetBoxes(100);
   gate.OnGrants({}, false, kStart);
   CHECK(AdmittedOf(gate, 20, kStart) == 20);
-  const auto uses = gate.TakeUse(kStart);
+  const auto uses = gate.TakeUnreportedUse(kStart);
   REQUIRE(uses.size() == 1);
   CHECK(uses[0].mAdmitted == 20);
   CHECK(uses[0].mOffered[static_cast<std::size_t>(Priority::kNormal)] == 20);
-  CHECK(gate.TakeUse(kStart).empty());
+  CHECK(gate.TakeUnreportedUse(kStart).empty());
   gate.GiveBack(kName);
-  CHECK(gate.TakeUse(kStart).at(0).mAdmitted == -1);
+  CHECK(gate.TakeUnreportedUse(kStart).at(0).mAdmitted == -1);
 }
 
-TEST_CASE("LimitGate keeps to its share, also of few requests")
+TEST_CASE("LimitGates with one request each admit the granted share")
 {
   int admitted = 0;
   constexpr int kGates = 400;
@@ -96,13 +96,13 @@
   CHECK(admitted < kGates * 6 / 10);
 }
 
-TEST_CASE("Without grants from a collector a gate keeps to its own part")
+TEST_CASE("LimitGate enforces its local part after grants have expired")
 {
   LimitGate gate;
-  gate.SetBoxes(5); // 2 requests a second
+  gate.SetBoxes(5); // 2 requests per second
   gate.OnGrants({}, false, kStart);
   CHECK(AdmittedOf(gate, 15, kStart) == 15);
-  auto now = kStart + Millis(2000); // its shares hold no more
+  auto now = kStart + Millis(2000); // the grants have expired
   CHECK(AdmittedOf(gate, 1, now) == 1);
   now += Millis(1000);
   const int first = AdmittedOf(gate, 30, now);
@@ -113,7 +113,7 @@
   CHECK(AdmittedOf(gate, 10, now) == 10);
 }
 
-TEST_CASE("An entry alone lets no more through than the whole limit")
+TEST_CASE("LimitGate admits no more than the whole limit of a workspace")
 {
   LimitGate gate;
   gate.SetBoxes(100);
@@ -128,7 +128,7 @@
   CHECK(admitted >= 5 * 10 + 10);
 }
 
-TEST_CASE("A collector that warms up lowers shares and lifts none")
+TEST_CASE("A collector that warms up lowers shares and raises none")
 {
   LimitGate gate;
   gate.OnGrants(Grants(0.5), false, kStart);
@@ -140,11 +140,11 @@
   CHECK(AdmittedOf(gate, 8, kStart) == 8);
 }
 
-TEST_CASE("UsageCollector grants what the limit leaves, urgent kinds first")
+TEST_CASE("UsageCollector grants larger shares to urgent priorities")
 {
   UsageCollector collector;
   auto now = kStart;
-  // 48 requests a second, of which less than the rate passes.
+  // 48 requests per second, of which 8 are admitted: less than the rate of 10.
   const WorkspaceUse use{ .mWorkspace = kName,
                           .mOffered = { 2, 2, 2 },
                           .mAdmitted = 1 };
@@ -160,7 +160,7 @@
   CHECK(Feed(collector, usual, Millis(3000), now).empty());
 }
 
-TEST_CASE("UsageCollector counts other zones, and tells its own once")
+TEST_CASE("UsageCollector counts other zones and sends its own counts once")
 {
   UsageCollector collector;
   const WorkspaceUse use{ .mWorkspace = kName,
@@ -175,13 +175,13 @@
     collector.Grant([](const auto&) { return kLimit; }, kStart);
   REQUIRE(grants.size() == 1);
   CHECK(grants[0].mShares[1] < 0.5);
-  // A limit that is taken away holds nobody back.
+  // A workspace whose limit is removed gets no grant.
   CHECK(
     collector.Grant([](const auto&) { return std::nullopt; }, kStart).empty());
   CHECK(collector.Idle());
 }
 
-TEST_CASE("UseReporter tells counts again that a collector may not have")
+TEST_CASE("UseReporter sends unconfirmed counts once more")
 {
   LimitGate gate;
   UseReporter reporter;
@@ -195,15 +195,15 @@
   const auto told = reporter.Next(gate, kCollectors, kStart + Millis(250));
   REQUIRE(told);
   CHECK(told->mQuestion == 0);
-  // No reply: all five go to the second one.
+  // No reply: all five go to the second collector.
   reporter.OnReply(asked->mQuestion, false, kStart + Millis(400));
   const auto again = reporter.Next(gate, kCollectors, kStart + Millis(500));
   REQUIRE(again);
   CHECK(again->mCollector == kCollectors[1]);
   CHECK(AdmittedIn(again->mUses) == 5);
-  // A late reply of the first one confirms nothing.
+  // A late reply of the first collector confirms nothing.
   reporter.OnReply(asked->mQuestion, true, kStart + Millis(510));
-  // No reply again: they are not told a third time, new ones are.
+  // No reply again: the five are not sent a third time, new counts are.
   reporter.OnReply(again->mQuestion, false, kStart + Millis(900));
   AdmittedOf(gate, 1, kStart);
   const auto third = reporter.Next(gate, kCollectors, kStart + Millis(1000));
@@ -211,7 +211,7 @@
   CHECK(AdmittedIn(third->mUses) == 1);
 }
 
-TEST_CASE("UseReporter moves what is unconfirmed to a new first collector")
+TEST_CASE("UseReporter sends unconfirmed counts to a new first collector")
 {
   LimitGate gate;
   UseReporter reporter;
