--- a/packages/policy/include/porttiller/policy/Subset.h
+++ b/packages/policy/include/porttiller/policy/Subset.h
@@ -45,9 +45,9 @@
 {
   // Indices of all servers, those of the subset first.
   std::vector<std::size_t> mOrder;
-  // Size of the subset. The numbers of subsets that two servers of a zone are
-  // in differ by one at most, and adding a box changes at most two servers of a
-  // subset.
+  // Size of the subset. Over the entries of one zone, the servers of that zone
+  // are in equally many subsets, give or take one, and so are the servers of
+  // all other zones. Adding a box changes at most two servers of a subset.
   std::size_t mSize = 0;
 };
 
--- a/packages/policy/tests/AttemptPlanTest.cpp
+++ b/packages/policy/tests/AttemptPlanTest.cpp
@@ -34,8 +34,8 @@
 
 TEST_CASE("When every server is demoted, one may be used as the last resort")
 {
-  // Guards against rejections by demoted servers using up all attempts, so that
-  // none is left for the last resort.
+  // Guards against rejections by nine demoted servers using up all attempts, so
+  // that none is left for the last resort.
   AttemptPlan plan(false);
   for (int i = 0; plan.MayAttempt() && !plan.LastResort(); ++i) {
     plan.OnSent(Server(i));
--- a/packages/policy/tests/SubsetTest.cpp
+++ b/packages/policy/tests/SubsetTest.cpp
@@ -115,7 +115,8 @@
   CHECK(SubsetOf("z1/e0", away).size() == 20);
 }
 
-TEST_CASE("Adding a server or removing an entry changes few of a subset")
+TEST_CASE(
+  "Adding a server or removing an entry changes few members of a subset")
 {
   const Fleet fleet{ MakeNames(350, 5, "e"), MakeNames(250, 5, "s") };
   auto more = fleet;
--- a/packages/policy/tests/WorkspaceLimitTest.cpp
+++ b/packages/policy/tests/WorkspaceLimitTest.cpp
@@ -192,9 +192,9 @@
   CHECK(asked->mCollector == kCollectors[0]);
   CHECK(asked->mQuestion != 0);
   AdmittedOf(gate, 2, kStart);
-  const auto told = reporter.Next(gate, kCollectors, kStart + Millis(250));
-  REQUIRE(told);
-  CHECK(told->mQuestion == 0);
+  const auto next = reporter.Next(gate, kCollectors, kStart + Millis(250));
+  REQUIRE(next);
+  CHECK(next->mQuestion == 0);
   // No reply: all five go to the second collector.
   reporter.OnReply(asked->mQuestion, false, kStart + Millis(400));
   const auto again = reporter.Next(gate, kCollectors, kStart + Millis(500));
