--- a/packages/peer/include/porttiller/peer/PeerTransport.h
+++ b/packages/peer/include/porttiller/peer/PeerTransport.h
@@ -1,5 +1,6 @@
-// Control messages between daemons: requests with one reply each, over
-// ZeroMQ, with bounded queues and links that close when idle.
+// Transport of control messages between daemons over ZeroMQ: requests with one
+// reply each, and one-way messages. Queues are bounded; a link (a connection to
+// one peer) is closed when idle.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -21,10 +22,10 @@
 
 enum class PeerErrorKind
 {
-  kTimeout, // no reply in time; the request may have arrived
-  kBusy,    // too many requests are waiting; not sent
+  kTimeout, // no reply in time; the peer may have handled the request
+  kBusy,    // too many requests wait for replies; this one is not sent
   kClosed,  // the transport is stopping
-  kBind     // the address is taken or not ours
+  kBind     // the address is in use or does not belong to this machine
 };
 
 struct PeerError
@@ -33,27 +34,27 @@
   std::string mDetail;
 };
 
-// Of a kind of message, as metrics name it.
+// The group of control messages that aKind belongs to, as a metric label.
 const char*
 ToText(wire::Envelope::BodyCase aKind);
 
-// A request that got no reply in time.
+// A request whose time-out passed without a reply.
 struct UnansweredRequest
 {
   std::string mAddress;
   wire::Envelope::BodyCase mKind = wire::Envelope::BODY_NOT_SET;
   Millis mWaited{ 0 };
-  // Since anything came over the link that it was sent on; null when nothing
-  // ever has.
+  // Time since the last reply over the request's link; null if that link has
+  // carried none.
   std::optional<Millis> mLinkHeard;
 };
 
-// A link that was silent and was made anew.
+// A link that delivered no replies and was replaced by a new connection.
 struct ReplacedLink
 {
   std::string mAddress;
-  Millis mSilent{ 0 };     // since a request was sent over it
-  std::size_t mResent = 0; // requests that go over the new one
+  Millis mSilent{ 0 };     // since its oldest request without a reply
+  std::size_t mResent = 0; // requests sent again over the new one
 };
 
 struct PeerTransportOptions
@@ -61,8 +62,8 @@
   std::string mBindAddress; // "ip:port"
   BoxName mBox;
   Incarnation mIncarnation;
-  Millis mIdleClose{ 30'000 };
-  std::size_t mMaxPending = 4096; // requests without a reply yet
+  Millis mIdleClose{ 30'000 };    // a link without use for so long is closed
+  std::size_t mMaxPending = 4096; // requests that wait for a reply
   // Both are called on the transport's thread and must not block.
   std::function<void(const UnansweredRequest&)> mOnUnanswered;
   std::function<void(const ReplacedLink&)> mOnReplaced;
@@ -72,10 +73,10 @@
 {
   std::uint64_t mBytesSent = 0;
   std::uint64_t mBytesReceived = 0;
-  std::uint64_t mLateReplies = 0; // dropped: nobody waits for them any more
-  std::uint64_t mUnreadable = 0;  // messages that were no envelopes
+  std::uint64_t mLateReplies = 0; // dropped: their requests had timed out
+  std::uint64_t mUnreadable = 0;  // messages that could not be decoded
   std::uint64_t mUnanswered = 0;  // requests whose time-out passed
-  std::uint64_t mLinks = 0;
+  std::uint64_t mLinks = 0;       // open now
   std::uint64_t mReplacedLinks = 0;
   std::map<wire::Envelope::BodyCase, std::uint64_t> mSentByKind; // bytes
 };
@@ -83,7 +84,7 @@
 using PeerResult = tl::expected<wire::Envelope, PeerError>;
 using PeerCallback = std::function<void(PeerResult)>;
 // Sends the reply to one request; may be called later, from any thread. Does
-// nothing for a message that needs none.
+// nothing for a one-way message.
 using PeerReplier = std::function<void(wire::Envelope)>;
 using PeerHandler = std::function<void(const wire::Envelope&, PeerReplier)>;
 
@@ -101,19 +102,21 @@
   PeerTransport& operator=(const PeerTransport&) = delete;
 
   // aCallback is called exactly once. A request may reach its receiver after
-  // its time-out; receivers treat every request as one that may be late. It may
-  // reach it twice: one that is not answered over a silent link is sent again
-  // over a new one, except for reports of workspaces' use, which add up.
+  // its time-out, so receivers must expect late requests. It may also arrive
+  // twice: a request that waits on a silent link is sent again over a new one.
+  // Reports of workspaces' use are not, because their receiver adds them up.
   void Send(const std::string& aAddress,
             wire::Envelope aRequest,
             Millis aTimeout,
             PeerCallback aCallback);
 
-  // Sends what needs no reply; it may get lost. The link of a box record or a
-  // probe is checked if nothing has come over it for a second.
+  // Sends a one-way message, which may get lost. A box record or a probe is
+  // sent as a request, to check the link, if the link has carried replies but
+  // none for a second.
   void Tell(const std::string& aAddress, wire::Envelope aMessage);
 
-  // As Send, but waits. Never call it on the transport's own thread.
+  // Like Send, but blocks until the reply or the error. Must not be called on
+  // the transport's own thread, where it would deadlock.
   PeerResult Call(const std::string& aAddress,
                   wire::Envelope aRequest,
                   Millis aTimeout);
--- a/packages/peer/src/MessageCodecPriv.cpp
+++ b/packages/peer/src/MessageCodecPriv.cpp
@@ -8,16 +8,19 @@
 
 namespace {
 
-// Shorter messages gain less than the frame costs.
-constexpr std::size_t kPackFrom = 256;
-constexpr int kLevel = 3; // zstd's own default
+// Bytes. Compression saves less than the zstd frame adds below this.
+constexpr std::size_t kMinCompressedBytes = 256;
+constexpr int kCompressionLevel = 3; // zstd's default
 
 std::optional<std::string>
 Compressed(const std::string& aBytes)
 {
   std::string packed(ZSTD_compressBound(aBytes.size()), '\0');
-  const auto size = ZSTD_compress(
-    packed.data(), packed.size(), aBytes.data(), aBytes.size(), kLevel);
+  const auto size = ZSTD_compress(packed.data(),
+                                  packed.size(),
+                                  aBytes.data(),
+                                  aBytes.size(),
+                                  kCompressionLevel);
   if (ZSTD_isError(size) != 0 || size >= aBytes.size()) {
     return std::nullopt;
   }
@@ -29,7 +32,7 @@
 Decompressed(const std::string& aPacked)
 {
   const auto size = ZSTD_getFrameContentSize(aPacked.data(), aPacked.size());
-  // The two error values are larger than any limit.
+  // Both error codes of zstd are larger than the limit.
   if (size > static_cast<unsigned long long>(kMaxMessageBytes)) {
     return std::nullopt;
   }
@@ -59,7 +62,7 @@
 EncodeMessage(const wire::Envelope& aEnvelope)
 {
   auto bytes = aEnvelope.SerializeAsString();
-  if (bytes.size() < kPackFrom) {
+  if (bytes.size() < kMinCompressedBytes) {
     return bytes;
   }
   auto packed = Compressed(bytes);
--- a/packages/peer/src/MessageCodecPriv.h
+++ b/packages/peer/src/MessageCodecPriv.h
@@ -1,4 +1,4 @@
-// How envelopes become messages: large ones are compressed.
+// Serializes envelopes to messages; large ones are compressed with zstd.
 #pragma once
 
 #include <porttiller.pb.h>
@@ -12,7 +12,8 @@
 std::string
 EncodeMessage(const wire::Envelope& aEnvelope);
 
-// Null for what is no envelope, or would unpack to more than kMaxMessageBytes.
+// Null if aMessage is not an envelope or decompresses to more than
+// kMaxMessageBytes.
 std::optional<wire::Envelope>
 DecodeMessage(std::string_view aMessage);
 
--- a/packages/peer/src/PeerLoopPriv.cpp
+++ b/packages/peer/src/PeerLoopPriv.cpp
@@ -9,17 +9,19 @@
 namespace {
 
 constexpr const char* kWakeAddress = "inproc://wake";
-constexpr int kHighWaterMark = 256; // messages queued for one peer
-constexpr Millis kMaxPollWait{ 1000 };
-constexpr int kReconnectMs = 100;
-// A link over which a cut has lost bytes is made anew after this: TCP itself
-// would wait as long again as the cut has lasted.
+constexpr int kHighWaterMark = 256; // messages queued per peer
+constexpr Millis kMaxPollTimeout{ 1000 };
+constexpr int kMinReconnectMs = 100;
+// A link with unacknowledged data is reconnected after this time. TCP backs off
+// exponentially: after an outage it may wait for as long as the outage lasted
+// before it sends again.
 constexpr int kMaxUnacknowledgedMs = 1000;
-constexpr int kConnectMs = 700;
+constexpr int kConnectTimeoutMs = 700;
 constexpr int kMaxReconnectMs = 500;
-constexpr int kIdleLooks = 4; // for idle links, while one becomes idle
-// Of a message that has to ask for a reply.
-constexpr Millis kCheckTimeout{ 1000 };
+// Checks for idle links within each PeerTransportOptions::mIdleClose.
+constexpr int kIdleChecksPerTimeout = 4;
+// Time-out of a one-way message that is sent as a request to check its link.
+constexpr Millis kDeliveryCheckTimeout{ 1000 };
 
 PeerError
 MakeError(PeerErrorKind aKind, std::string aDetail)
@@ -27,16 +29,17 @@
   return { .mKind = aKind, .mDetail = std::move(aDetail) };
 }
 
-// Receivers add up what reports count.
+// Receivers add up reports of workspaces' use; a repeated one counts twice.
 bool
-MayRepeat(wire::Envelope::BodyCase aKind)
+IsRepeatable(wire::Envelope::BodyCase aKind)
 {
   return aKind != wire::Envelope::kWorkspaceReport;
 }
 
-// What others rely on even if it is told once, and answer without harm.
+// Messages that peers rely on although each may be sent only once. Asking for a
+// reply to them does no harm.
 bool
-MustArrive(wire::Envelope::BodyCase aKind)
+NeedsDeliveryCheck(wire::Envelope::BodyCase aKind)
 {
   return aKind == wire::Envelope::kBoxRecords ||
          aKind == wire::Envelope::kProbe;
@@ -48,10 +51,10 @@
   : mOptions(std::move(aOptions))
   , mHandler(std::move(aHandler))
   , mContext(1)
-  , mRouter(mContext, zmq::socket_type::router)
-  , mCaller(mContext, zmq::socket_type::router)
-  , mWake(mContext, zmq::socket_type::pair)
-  , mWaker(mContext, zmq::socket_type::pair)
+  , mIncoming(mContext, zmq::socket_type::router)
+  , mOutgoing(mContext, zmq::socket_type::router)
+  , mWakeReceiver(mContext, zmq::socket_type::pair)
+  , mWakeSender(mContext, zmq::socket_type::pair)
 {
 }
 
@@ -60,7 +63,7 @@
   {
     const std::lock_guard lock(mMutex);
     mStopping = true;
-    mWaker.send(zmq::message_t(), zmq::send_flags::dontwait);
+    mWakeSender.send(zmq::message_t(), zmq::send_flags::dontwait);
   }
   if (mThread.joinable()) {
     mThread.join();
@@ -71,19 +74,19 @@
 PeerLoop::Bind()
 {
   try {
-    for (auto* socket : { &mRouter, &mCaller }) {
+    for (auto* socket : { &mIncoming, &mOutgoing }) {
       socket->set(zmq::sockopt::linger, 0);
       socket->set(zmq::sockopt::sndhwm, kHighWaterMark);
       socket->set(zmq::sockopt::rcvhwm, kHighWaterMark);
       socket->set(zmq::sockopt::maxmsgsize, kMaxMessageBytes);
       socket->set(zmq::sockopt::tcp_maxrt, kMaxUnacknowledgedMs);
     }
-    mCaller.set(zmq::sockopt::reconnect_ivl, kReconnectMs);
-    mCaller.set(zmq::sockopt::reconnect_ivl_max, kMaxReconnectMs);
-    mCaller.set(zmq::sockopt::connect_timeout, kConnectMs);
-    mRouter.bind("tcp://" + mOptions.mBindAddress);
-    mWake.bind(kWakeAddress);
-    mWaker.connect(kWakeAddress);
+    mOutgoing.set(zmq::sockopt::reconnect_ivl, kMinReconnectMs);
+    mOutgoing.set(zmq::sockopt::reconnect_ivl_max, kMaxReconnectMs);
+    mOutgoing.set(zmq::sockopt::connect_timeout, kConnectTimeoutMs);
+    mIncoming.bind("tcp://" + mOptions.mBindAddress);
+    mWakeReceiver.bind(kWakeAddress);
+    mWakeSender.connect(kWakeAddress);
   } catch (const zmq::error_t& e) {
     return tl::make_unexpected(
       MakeError(PeerErrorKind::kBind, mOptions.mBindAddress + ": " + e.what()));
@@ -106,7 +109,7 @@
   }
   mCommands.push_back(std::move(aCommand));
   if (mCommands.size() == 1) {
-    mWaker.send(zmq::message_t(), zmq::send_flags::dontwait);
+    mWakeSender.send(zmq::message_t(), zmq::send_flags::dontwait);
   }
   return true;
 }
@@ -130,8 +133,8 @@
                       PeerCallback aCallback)
 {
   if (mPendingCount >= mOptions.mMaxPending) {
-    aCallback(
-      tl::make_unexpected(MakeError(PeerErrorKind::kBusy, "too many waiting")));
+    aCallback(tl::make_unexpected(
+      MakeError(PeerErrorKind::kBusy, "too many requests wait for replies")));
     return;
   }
   ++mPendingCount;
@@ -145,8 +148,8 @@
   command.mDeadline = Now() + aTimeout;
   command.mCallback = std::move(aCallback);
   if (!Post(command)) {
-    command.mCallback(
-      tl::make_unexpected(MakeError(PeerErrorKind::kClosed, "stopping")));
+    command.mCallback(tl::make_unexpected(
+      MakeError(PeerErrorKind::kClosed, "the transport is stopping")));
   }
 }
 
@@ -154,7 +157,8 @@
 PeerLoop::PostMessage(const std::string& aAddress, wire::Envelope aMessage)
 {
   PeerCommand command{ .mAddress = aAddress, .mMessage = std::move(aMessage) };
-  static_cast<void>(Post(command)); // lost when stopping, as any may be
+  static_cast<void>(
+    Post(command)); // dropped when stopping: one-way messages may get lost
 }
 
 void
@@ -171,14 +175,14 @@
 }
 
 Millis
-PeerLoop::PollWait() const
+PeerLoop::PollTimeout() const
 {
-  auto next = Now() + kMaxPollWait;
+  auto next = Now() + kMaxPollTimeout;
   if (!mDeadlines.empty()) {
     next = std::min(next, mDeadlines.begin()->first);
   }
-  if (const auto look = mSilence.NextLook()) {
-    next = std::min(next, *look);
+  if (const auto check = mSilenceDetector.NextCheck()) {
+    next = std::min(next, *check);
   }
   return std::max(Millis(0), std::chrono::ceil<Millis>(next - Now()));
 }
@@ -187,12 +191,12 @@
 PeerLoop::PollOnce()
 {
   std::array<zmq::pollitem_t, 3> items{
-    { { mWake.handle(), 0, ZMQ_POLLIN, 0 },
-      { mRouter.handle(), 0, ZMQ_POLLIN, 0 },
-      { mCaller.handle(), 0, ZMQ_POLLIN, 0 } }
+    { { mWakeReceiver.handle(), 0, ZMQ_POLLIN, 0 },
+      { mIncoming.handle(), 0, ZMQ_POLLIN, 0 },
+      { mOutgoing.handle(), 0, ZMQ_POLLIN, 0 } }
   };
   try {
-    zmq::poll(items.data(), items.size(), PollWait());
+    zmq::poll(items.data(), items.size(), PollTimeout());
   } catch (const zmq::error_t& e) {
     if (e.num() != EINTR) {
       throw;
@@ -206,18 +210,18 @@
     ReceiveRequests();
   }
   if (items[0].revents != 0) {
-    TakeCommands();
+    ProcessCommands();
   }
   ReplaceSilent();
-  Expire();
+  ExpireRequests();
   CloseIdle();
 }
 
 void
-PeerLoop::TakeCommands()
+PeerLoop::ProcessCommands()
 {
   zmq::message_t wake;
-  while (mWake.recv(wake, zmq::recv_flags::dontwait)) {
+  while (mWakeReceiver.recv(wake, zmq::recv_flags::dontwait)) {
   }
   std::deque<PeerCommand> commands;
   {
@@ -230,7 +234,7 @@
     } else if (command.mMessage) {
       SendMessage(std::move(command));
     } else {
-      SendOver(mRouter, command.mRoute, command);
+      SendOver(mIncoming, command.mRoute, command);
     }
   }
 }
@@ -239,10 +243,10 @@
 PeerLoop::SendMessage(PeerCommand aCommand)
 {
   const auto& link = LinkTo(aCommand.mAddress);
-  if (!mSilence.IsQuiet(link.mRoute, Now()) ||
-      !MustArrive(aCommand.mMessage->body_case())) {
+  if (!mSilenceDetector.IsQuiet(link.mRoute, Now()) ||
+      !NeedsDeliveryCheck(aCommand.mMessage->body_case())) {
     SendOver(
-      mCaller, link.mRoute, MakeCommand(std::move(*aCommand.mMessage), 0));
+      mOutgoing, link.mRoute, MakeCommand(std::move(*aCommand.mMessage), 0));
     return;
   }
   std::uint64_t correlation = 0;
@@ -252,7 +256,7 @@
   }
   auto request = MakeCommand(std::move(*aCommand.mMessage), correlation);
   request.mAddress = aCommand.mAddress;
-  request.mDeadline = Now() + kCheckTimeout;
+  request.mDeadline = Now() + kDeliveryCheckTimeout;
   request.mCallback = [](const PeerResult&) {};
   ++mPendingCount;
   SendRequest(std::move(request));
@@ -263,13 +267,13 @@
 {
   auto it = mLinks.find(aAddress);
   if (it == mLinks.end()) {
-    // A route must not be given out again while its last link is going.
-    const auto route = std::to_string(mNextLink++);
-    mCaller.set(zmq::sockopt::connect_routing_id, route);
-    mCaller.connect("tcp://" + aAddress);
+    // A reused routing ID could clash with a link that is still closing.
+    const auto route = std::to_string(mNextRoute++);
+    mOutgoing.set(zmq::sockopt::connect_routing_id, route);
+    mOutgoing.connect("tcp://" + aAddress);
     it = mLinks.emplace(aAddress, PeerLink{ .mRoute = route }).first;
-    mAddresses.emplace(route, aAddress);
-    mSilence.OnMade(route, Now());
+    mAddressByRoute.emplace(route, aAddress);
+    mSilenceDetector.OnOpened(route, Now());
     mLinkCount = mLinks.size();
   }
   it->second.mLastUse = Now();
@@ -288,11 +292,11 @@
                                       .mRoute = link.mRoute,
                                       .mPayload = aCommand.mPayload };
   mDeadlines.emplace(aCommand.mDeadline, aCommand.mCorrelation);
-  mSilence.OnRequest(link.mRoute, Now());
-  SendOver(mCaller, link.mRoute, aCommand);
+  mSilenceDetector.OnRequest(link.mRoute, Now());
+  SendOver(mOutgoing, link.mRoute, aCommand);
 }
 
-// A full queue drops what is sent; time-outs tell callers that wait.
+// Drops the message if the peer's queue is full; its request then times out.
 void
 PeerLoop::SendOver(zmq::socket_t& aSocket,
                    const std::string& aRoute,
@@ -321,8 +325,8 @@
 {
   zmq::message_t route;
   zmq::message_t payload;
-  while (mRouter.recv(route, zmq::recv_flags::dontwait)) {
-    if (!route.more() || !mRouter.recv(payload, zmq::recv_flags::dontwait)) {
+  while (mIncoming.recv(route, zmq::recv_flags::dontwait)) {
+    if (!route.more() || !mIncoming.recv(payload, zmq::recv_flags::dontwait)) {
       continue;
     }
     mReceived += payload.size();
@@ -336,7 +340,7 @@
       *request,
       [this, to = route.to_string(), correlation](wire::Envelope aReply) {
         if (correlation == 0) {
-          return; // nobody waits for it
+          return; // a one-way message
         }
         auto reply = MakeCommand(std::move(aReply), correlation);
         reply.mRoute = to;
@@ -350,12 +354,12 @@
 {
   zmq::message_t route;
   zmq::message_t payload;
-  while (mCaller.recv(route, zmq::recv_flags::dontwait)) {
-    if (!route.more() || !mCaller.recv(payload, zmq::recv_flags::dontwait)) {
+  while (mOutgoing.recv(route, zmq::recv_flags::dontwait)) {
+    if (!route.more() || !mOutgoing.recv(payload, zmq::recv_flags::dontwait)) {
       continue;
     }
     mReceived += payload.size();
-    mSilence.OnHeard(route.to_string(), Now());
+    mSilenceDetector.OnReply(route.to_string(), Now());
     auto reply = DecodeMessage(payload.to_string_view());
     if (!reply) {
       ++mUnreadable;
@@ -367,7 +371,7 @@
       continue;
     }
     const auto callback = std::move(it->second.mCallback);
-    mSilence.OnReplyTime(it->second.mRoute, Now() - it->second.mSent);
+    mSilenceDetector.OnReplyTime(it->second.mRoute, Now() - it->second.mSent);
     mPending.erase(it);
     --mPendingCount;
     callback(std::move(*reply));
@@ -375,7 +379,7 @@
 }
 
 void
-PeerLoop::Expire()
+PeerLoop::ExpireRequests()
 {
   const auto now = Now();
   while (!mDeadlines.empty() && mDeadlines.begin()->first <= now) {
@@ -388,7 +392,7 @@
     const auto pending = std::move(it->second);
     mPending.erase(it);
     --mPendingCount;
-    NoteUnanswered(pending);
+    ReportUnanswered(pending);
     pending.mCallback(tl::make_unexpected(
       MakeError(PeerErrorKind::kTimeout, pending.mAddress)));
   }
@@ -397,8 +401,8 @@
 void
 PeerLoop::ReplaceSilent()
 {
-  for (const auto& [route, silent] : mSilence.TakeSilent(Now())) {
-    const auto address = mAddresses.at(route);
+  for (const auto& [route, silent] : mSilenceDetector.TakeSilent(Now())) {
+    const auto address = mAddressByRoute.at(route);
     Close(mLinks.find(address));
     ++mReplaced;
     const auto resent = ResendTo(address);
@@ -414,14 +418,14 @@
 {
   std::size_t resent = 0;
   for (auto& [correlation, pending] : mPending) {
-    if (pending.mAddress != aAddress || !MayRepeat(pending.mKind)) {
+    if (pending.mAddress != aAddress || !IsRepeatable(pending.mKind)) {
       continue;
     }
     auto& link = LinkTo(aAddress);
-    mSilence.OnRequest(link.mRoute, Now());
+    mSilenceDetector.OnRequest(link.mRoute, Now());
     pending.mSent = Now();
     pending.mRoute = link.mRoute;
-    SendOver(mCaller,
+    SendOver(mOutgoing,
              pending.mRoute,
              { .mKind = pending.mKind, .mPayload = pending.mPayload });
     ++resent;
@@ -432,16 +436,16 @@
 PeerLoop::Links::iterator
 PeerLoop::Close(Links::iterator aLink)
 {
-  mCaller.disconnect("tcp://" + aLink->first);
-  mAddresses.erase(aLink->second.mRoute);
-  mSilence.OnClosed(aLink->second.mRoute);
+  mOutgoing.disconnect("tcp://" + aLink->first);
+  mAddressByRoute.erase(aLink->second.mRoute);
+  mSilenceDetector.OnClosed(aLink->second.mRoute);
   const auto next = mLinks.erase(aLink);
   mLinkCount = mLinks.size();
   return next;
 }
 
 void
-PeerLoop::NoteUnanswered(const PeerPending& aPending)
+PeerLoop::ReportUnanswered(const PeerPending& aPending)
 {
   ++mUnanswered;
   if (!mOptions.mOnUnanswered) {
@@ -459,10 +463,10 @@
 PeerLoop::CloseIdle()
 {
   const auto now = Now();
-  if (now < mNextIdleLook) {
+  if (now < mNextIdleCheck) {
     return;
   }
-  mNextIdleLook = now + mOptions.mIdleClose / kIdleLooks;
+  mNextIdleCheck = now + mOptions.mIdleClose / kIdleChecksPerTimeout;
   const auto oldest = now - mOptions.mIdleClose;
   for (auto it = mLinks.begin(); it != mLinks.end();) {
     it = it->second.mLastUse >= oldest ? std::next(it) : Close(it);
@@ -472,10 +476,10 @@
 void
 PeerLoop::FailAll()
 {
-  TakeCommands();
+  ProcessCommands();
   for (auto& [correlation, pending] : mPending) {
-    pending.mCallback(
-      tl::make_unexpected(MakeError(PeerErrorKind::kClosed, "stopping")));
+    pending.mCallback(tl::make_unexpected(
+      MakeError(PeerErrorKind::kClosed, "the transport is stopping")));
   }
   mPending.clear();
 }
--- a/packages/peer/src/PeerLoopPriv.h
+++ b/packages/peer/src/PeerLoopPriv.h
@@ -1,7 +1,7 @@
-// The thread and the sockets behind a PeerTransport.
+// The thread and the sockets of a PeerTransport.
 #pragma once
 
-#include "LinkSilencePriv.h"
+#include "LinkSilenceDetectorPriv.h"
 #include "porttiller/peer/PeerTransport.h"
 
 #include <array>
@@ -15,38 +15,38 @@
 
 namespace porttiller {
 
-inline constexpr std::int64_t kMaxMessageBytes = 8 << 20; // unpacked, too
+inline constexpr std::int64_t kMaxMessageBytes = 8 << 20; // decompressed, too
 
-// What other threads ask of the loop: a request or a message to send, or a
-// reply.
+// Posted to the loop by other threads: a request, a one-way message or a reply
+// to send.
 struct PeerCommand
 {
-  std::string mAddress; // of a request or message
-  std::string mRoute;   // of a reply
+  std::string mAddress; // for a request or one-way message
+  std::string mRoute;   // for a reply: the connection to send it over
   wire::Envelope::BodyCase mKind = wire::Envelope::BODY_NOT_SET;
   std::string mPayload;
-  std::uint64_t mCorrelation = 0; // zero: no reply is waited for
+  std::uint64_t mCorrelation = 0; // zero: no reply is expected
   TimePoint mDeadline;
-  PeerCallback mCallback;                 // null when no reply is waited for
-  std::optional<wire::Envelope> mMessage; // one that needs no reply
+  PeerCallback mCallback;                 // null if no reply is expected
+  std::optional<wire::Envelope> mMessage; // set for a one-way message
 };
 
-// An outgoing connection of the one socket that makes them all.
+// An outgoing connection of PeerLoop::mOutgoing.
 struct PeerLink
 {
-  std::string mRoute; // names it within that socket; never used again
+  std::string mRoute; // its routing ID in that socket; never reused
   TimePoint mLastUse;
 };
 
-// A request that waits for its reply.
+// A request that waits for a reply.
 struct PeerPending
 {
   PeerCallback mCallback;
   std::string mAddress;
   wire::Envelope::BodyCase mKind = wire::Envelope::BODY_NOT_SET;
   TimePoint mSent;
-  std::string mRoute; // of the link that it was sent over
-  std::string mPayload;
+  std::string mRoute;   // of the link that it was sent over
+  std::string mPayload; // encoded, to send again over a new link
 };
 
 // Owned by its PeerTransport. Only its own thread touches the sockets; what
@@ -67,24 +67,25 @@
                    wire::Envelope aRequest,
                    Millis aTimeout,
                    PeerCallback aCallback);
-  // Without a reply.
+  // Sends a one-way message.
   void PostMessage(const std::string& aAddress, wire::Envelope aMessage);
   PeerTraffic Traffic() const;
 
 private:
   using Links = std::unordered_map<std::string, PeerLink>;
 
-  static constexpr std::size_t kKinds = 32; // field numbers of the bodies
+  // More than every field number of Envelope's bodies.
+  static constexpr std::size_t kBodyKinds = 32;
 
-  // Signed with this box's name and life; its receiver is not filled in.
+  // Adds this box's name and incarnation; leaves the receiver unset.
   PeerCommand MakeCommand(wire::Envelope aEnvelope,
                           std::uint64_t aCorrelation) const;
   void Run();
-  Millis PollWait() const;
+  Millis PollTimeout() const;
   void PollOnce();
-  void TakeCommands();
+  void ProcessCommands();
   void SendRequest(PeerCommand aCommand);
-  // Asks for a reply where the link has to be checked.
+  // Asks for a reply if the link has to be checked.
   void SendMessage(PeerCommand aCommand);
   void SendOver(zmq::socket_t& aSocket,
                 const std::string& aRoute,
@@ -92,39 +93,39 @@
   void CountSent(const PeerCommand& aCommand);
   void ReceiveRequests();
   void ReceiveReplies();
-  void Expire();
+  void ExpireRequests();
   void CloseIdle();
-  // Makes silent links anew and sends what waits over the new ones.
+  // Replaces silent links and sends their waiting requests again.
   void ReplaceSilent();
   std::size_t ResendTo(const std::string& aAddress);
   Links::iterator Close(Links::iterator aLink);
-  void NoteUnanswered(const PeerPending& aPending);
+  void ReportUnanswered(const PeerPending& aPending);
   PeerLink& LinkTo(const std::string& aAddress);
   void FailAll();
 
   PeerTransportOptions mOptions;
   PeerHandler mHandler;
   zmq::context_t mContext;
-  zmq::socket_t mRouter; // takes requests and answers them
-  // Sends requests and takes their answers. One socket a box had to be polled,
-  // each at every turn of the loop: a quarter of the processor time of a loaded
-  // box among 353, by sampled stacks.
-  zmq::socket_t mCaller;
-  zmq::socket_t mWake;
-  zmq::socket_t mWaker; // under mMutex
-  Links mLinks;         // by address
-  std::uint64_t mNextLink = 1;
-  TimePoint mNextIdleLook;
+  zmq::socket_t mIncoming; // receives requests and sends replies
+  // Sends requests and receives replies. One socket serves all peers: with a
+  // socket per peer, polling them all in each iteration takes a quarter of the
+  // CPU time of a loaded box in a fleet of 353.
+  zmq::socket_t mOutgoing;
+  zmq::socket_t mWakeReceiver;
+  zmq::socket_t mWakeSender; // under mMutex
+  Links mLinks;              // by address
+  std::uint64_t mNextRoute = 1;
+  TimePoint mNextIdleCheck;
   std::unordered_map<std::uint64_t, PeerPending> mPending;
   std::multimap<TimePoint, std::uint64_t> mDeadlines;
-  std::unordered_map<std::string, std::string> mAddresses; // by route
-  LinkSilence mSilence;
+  std::unordered_map<std::string, std::string> mAddressByRoute;
+  LinkSilenceDetector mSilenceDetector;
   std::mutex mMutex;
   std::deque<PeerCommand> mCommands;
   bool mStopping = false;
   std::uint64_t mNextCorrelation = 1;
   std::atomic<std::uint64_t> mSent{ 0 };
-  std::array<std::atomic<std::uint64_t>, kKinds> mSentByKind{};
+  std::array<std::atomic<std::uint64_t>, kBodyKinds> mSentByKind{};
   std::atomic<std::uint64_t> mReceived{ 0 };
   std::atomic<std::uint64_t> mUnreadable{ 0 };
   std::atomic<std::uint64_t> mLate{ 0 };
--- a/packages/peer/tests/MessageCodecTest.cpp
+++ b/packages/peer/tests/MessageCodecTest.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("A large message comes out as it went in, and is sent much smaller")
+TEST_CASE("A large message survives encoding and shrinks to under an eighth")
 {
   const auto envelope = Configuration();
   const auto plain = envelope.SerializeAsString();
@@ -36,7 +36,7 @@
   CHECK(decoded->SerializeAsString() == plain);
 }
 
-TEST_CASE("A short message is sent as it is")
+TEST_CASE("A short message is not compressed")
 {
   wire::Envelope envelope;
   envelope.set_from_box("box-a");
@@ -46,7 +46,7 @@
   CHECK(DecodeMessage(message)->has_ack());
 }
 
-TEST_CASE("What cannot be unpacked is no message")
+TEST_CASE("A message that cannot be decompressed is rejected")
 {
   auto message = EncodeMessage(Configuration());
   message[message.size() / 2] ^= 0x55;
--- a/packages/peer/tests/PeerTransportTest.cpp
+++ b/packages/peer/tests/PeerTransportTest.cpp
@@ -51,7 +51,7 @@
   CHECK(reply->from_incarnation() == 9);
 }
 
-TEST_CASE("A taken address is an error, not a crash")
+TEST_CASE("An address in use is reported as an error")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -77,7 +77,7 @@
   CHECK(first->Traffic().mLateReplies == 1);
 }
 
-TEST_CASE("A message that needs no reply arrives, and none comes back")
+TEST_CASE("A one-way message arrives and no reply is sent")
 {
   std::atomic<int> handledByFirst{ 0 };
   std::atomic<int> handled{ 0 };
@@ -95,7 +95,7 @@
 
 namespace {
 
-// Tries until the peer has answered, each time over whatever link there is.
+// Sends requests until the peer replies, each over the link of the moment.
 bool
 IsReached(PeerTransport& aFrom, const char* aAddress)
 {
@@ -111,8 +111,8 @@
 bool
 IsHandled(const std::atomic<int>& aHandled, int aCount)
 {
-  constexpr int kLooks = 1000;
-  for (int i = 0; i < kLooks && aHandled < aCount; ++i) {
+  constexpr int kPolls = 1000;
+  for (int i = 0; i < kPolls && aHandled < aCount; ++i) {
     std::this_thread::sleep_for(Millis(10));
   }
   return aHandled == aCount;
@@ -120,7 +120,7 @@
 
 } // namespace
 
-TEST_CASE("A peer is reached though it starts late, or starts anew")
+TEST_CASE("A peer is reached after a late start and after a restart")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -133,7 +133,7 @@
   CHECK(IsReached(*first, kSecond));
 }
 
-TEST_CASE("A link that went silent is replaced")
+TEST_CASE("A silent link is replaced")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -144,7 +144,7 @@
   CHECK(IsReached(*first, link.Address().c_str()));
 }
 
-TEST_CASE("A request that a silent link has taken is answered over a new one")
+TEST_CASE("A request on a silent link is answered over a new one")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -157,12 +157,13 @@
   CHECK(handled == before + 1);
   CHECK(first->Traffic().mReplacedLinks == 1);
   link.SilenceBackward();
-  // It is handled, its reply is lost, and it comes again.
+  // The peer handles the request, its reply is lost, and the request is sent
+  // again: handled twice.
   CHECK(first->Call(link.Address(), Request(), Millis(10'000)).has_value());
   CHECK(handled == before + 3);
 }
 
-TEST_CASE("A message over a link that went silent while quiet arrives")
+TEST_CASE("A one-way message arrives though its quiet link has become silent")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -171,12 +172,12 @@
   REQUIRE(IsReached(*first, link.Address().c_str()));
   const int before = handled;
   link.SilenceForward();
-  std::this_thread::sleep_for(Millis(1100)); // the link is quiet by then
+  std::this_thread::sleep_for(Millis(1100)); // the link is quiet after 1 s
   first->Tell(link.Address(), Request());
   CHECK(IsHandled(handled, before + 1));
 }
 
-TEST_CASE("A report that may have arrived is not sent again")
+TEST_CASE("A report of workspaces' use is not sent again")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -192,7 +193,7 @@
   CHECK(handled == before + 1);
 }
 
-TEST_CASE("A link whose replies take long is kept")
+TEST_CASE("A link with late replies is not replaced")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
@@ -201,17 +202,17 @@
   REQUIRE(IsReached(*first, link.Address().c_str()));
   for (int i = 0; i < 3; ++i) {
     link.CutBackward(true);
-    std::thread late([&] {
+    std::thread restore([&] {
       std::this_thread::sleep_for(Millis(100));
       link.CutBackward(false);
     });
     CHECK(first->Call(link.Address(), Request(), Millis(10'000)).has_value());
-    late.join();
+    restore.join();
   }
   CHECK(first->Traffic().mReplacedLinks == 0);
 }
 
-TEST_CASE("A link that was idle is closed, and made anew when it is needed")
+TEST_CASE("An idle link is closed, and opened again when it is needed")
 {
   std::atomic<int> handled{ 0 };
   const auto first =
@@ -222,7 +223,7 @@
   constexpr int kTimes = 5;
   for (int i = 0; i < kTimes; ++i) {
     CHECK(IsReached(**first, kSecond));
-    // Use of another link lets the loop look for idle ones.
+    // Requests over another link make the loop check for idle ones.
     while ((*first)->Traffic().mLinks > 1 || handled == 0) {
       static_cast<void>((*first)->Call(kFirst, Request(), Millis(10)));
     }
