--- a/packages/node/include/porttiller/node/AdminServer.h
+++ b/packages/node/include/porttiller/node/AdminServer.h
@@ -1,4 +1,4 @@
-// The operators' HTTP server of one daemon: /metrics, /state and /health.
+// HTTP server for operators: /metrics, /state and /health of this daemon.
 #pragma once
 
 #include "porttiller/http/HttpListener.h"
@@ -11,7 +11,7 @@
 
 struct AdminSources
 {
-  std::function<void()> mRefresh;      // brings gauges up to date
+  std::function<void()> mRefresh;      // updates the gauges for /metrics
   std::function<std::string()> mState; // JSON
   std::function<bool()> mDraining;
 };
--- a/packages/node/include/porttiller/node/Node.h
+++ b/packages/node/include/porttiller/node/Node.h
@@ -18,7 +18,8 @@
 class Node
 {
 public:
-  // The error names the address that is taken.
+  // Opens every listening socket. The error names the address that could not be
+  // bound.
   static tl::expected<std::unique_ptr<Node>, NodeError> Make(
     Settings aSettings);
 
@@ -26,8 +27,8 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // A planned stop: cuts no request in flight, and returns once the last has
-  // its answer or Settings::mTiming.mDrain has passed.
+  // Planned stop: stops accepting requests and lets those in flight finish.
+  // Returns after the last one or after Settings::mTiming.mDrain.
   void Drain();
 
   // The state of every part, as JSON.
--- a/packages/node/include/porttiller/node/ReadinessServer.h
+++ b/packages/node/include/porttiller/node/ReadinessServer.h
@@ -1,4 +1,4 @@
-// Tells the platform whether callers of this box may send.
+// Readiness endpoint for the platform: whether this daemon accepts requests.
 #pragma once
 
 #include "porttiller/config/Settings.h"
--- a/packages/node/include/porttiller/node/RegistrationServer.h
+++ b/packages/node/include/porttiller/node/RegistrationServer.h
@@ -1,4 +1,4 @@
-// Takes the messages of the backend server beside this box.
+// Receives the heartbeats and leave messages of the backend server on this box.
 #pragma once
 
 #include "porttiller/config/Settings.h"
--- a/packages/node/src/Node.cpp
+++ b/packages/node/src/Node.cpp
@@ -15,13 +15,13 @@
 
 constexpr int kRandomBits = 10;
 constexpr std::uint64_t kRandomMask = (1U << kRandomBits) - 1;
-constexpr Millis kDrainPoll{ 10 };
-// Of a planned stop, the last half is for the home to finish what it runs. On
-// the users' machines that is 2.6 s, and few requests take longer.
-constexpr int kHomeFinishPart = 2;
+constexpr Millis kDrainPollInterval{ 10 };
+// The home gets the last half of the drain time to finish its requests. On
+// users' machines that is 2.6 s, and few requests take longer.
+constexpr int kHomeFinishDivisor = 2;
 
 Incarnation
-DrawIncarnation()
+MakeIncarnation()
 {
   const auto micros =
     static_cast<std::uint64_t>(Poco::Timestamp().epochMicroseconds());
@@ -53,7 +53,7 @@
 
 Node::Parts::Parts(Settings aSettings)
   : mSettings(std::move(aSettings))
-  , mIncarnation(DrawIncarnation())
+  , mIncarnation(MakeIncarnation())
   , mHome(mSettings.mBox,
           mIncarnation,
           { .mFailingServers = mSettings.mFailingServers,
@@ -69,8 +69,8 @@
 Node::Parts::~Parts()
 {
   StopControllers();
-  // No handler runs any more once the transport is gone.
-  mReady = false;
+  // No handler runs after the transport is destroyed.
+  mControllersReady = false;
   mTransport.reset();
 }
 
@@ -165,7 +165,7 @@
   }
   mDispatcher = std::make_unique<Dispatcher>(
     mSettings, mHome, mView, *mTransport, mMetrics, mCutoff);
-  mReady = true;
+  mControllersReady = true;
 }
 
 tl::expected<void, std::string>
@@ -209,7 +209,7 @@
   }
   if (!mSettings.mReadiness.mAddress.empty()) {
     auto readiness =
-      ReadinessServer::Make(mSettings.mReadiness, [this] { return Ready(); });
+      ReadinessServer::Make(mSettings.mReadiness, [this] { return IsReady(); });
     if (!readiness) {
       return tl::make_unexpected(readiness.error());
     }
@@ -219,7 +219,7 @@
 }
 
 bool
-Node::Parts::Ready() const
+Node::Parts::IsReady() const
 {
   const auto snapshot = mConfig->Current();
   const bool configured = snapshot && snapshot->mRevision != 0;
@@ -310,7 +310,7 @@
 void
 Node::Parts::StopControllers()
 {
-  if (mReady) {
+  if (mControllersReady) {
     if (mStatus) {
       mStatus->Stop();
     }
@@ -329,9 +329,9 @@
   }
 }
 
-// No more work for the servers of this box; others are told.
+// Makes the home reject new requests and notifies the other boxes.
 void
-Node::Parts::LeaveHome()
+Node::Parts::AnnounceHomeLeaving()
 {
   LogLine(LogLevel::kInfo, "home_leaving")
     .With("running", static_cast<std::int64_t>(mHome.InFlight()));
@@ -342,10 +342,10 @@
   }
 }
 
-// The callers' side stops first. The backend server beside this box runs on,
-// and is worth using until shortly before the end: with many boxes stopped in
-// turn, each second that homes refuse costs the service a share of its
-// capacity.
+// The entry stops first; the home accepts requests until shortly before the
+// end, because its backend server is still running. During a rolling restart of
+// many boxes, each second in which homes reject requests reduces the capacity
+// of the service.
 void
 Node::Parts::Drain()
 {
@@ -358,11 +358,12 @@
   std::this_thread::sleep_for(mSettings.mTiming.mDrainNotice);
   auto entryStopped =
     std::async(std::launch::async, [this] { mEntryServer->Stop(); });
-  entryStopped.wait_until(bound - mSettings.mTiming.mDrain / kHomeFinishPart);
-  LeaveHome();
+  entryStopped.wait_until(bound -
+                          mSettings.mTiming.mDrain / kHomeFinishDivisor);
+  AnnounceHomeLeaving();
   entryStopped.get();
   while (mHome.InFlight() > 0 && Now() < bound) {
-    std::this_thread::sleep_for(kDrainPoll);
+    std::this_thread::sleep_for(kDrainPollInterval);
   }
   mHomeServer->Stop();
   StopControllers();
--- a/packages/node/src/NodePartsPriv.h
+++ b/packages/node/src/NodePartsPriv.h
@@ -1,4 +1,4 @@
-// The parts of one daemon and how they are wired. Owned by Node.
+// The components of one daemon and their connections. Owned by Node.
 #pragma once
 
 #include "porttiller/node/Node.h"
@@ -40,7 +40,7 @@
 
   tl::expected<void, std::string> Open();
   void Drain();
-  void LeaveHome();
+  void AnnounceHomeLeaving();
   std::string StateText() const;
 
 private:
@@ -51,13 +51,13 @@
   void StartControllers();
   void StopControllers();
   void HandlePeer(const wire::Envelope& aRequest, const PeerReplier& aReply);
-  std::optional<wire::Envelope> Answer(const wire::Envelope& aRequest);
-  wire::Envelope AnswerAttempt(const wire::AttemptRequest& aRequest);
+  std::optional<wire::Envelope> ReplyTo(const wire::Envelope& aRequest);
+  wire::Envelope ReplyToAttemptQuery(const wire::AttemptRequest& aRequest);
   void RefreshGauges();
   tl::expected<void, std::string> OpenPlatformServers();
   DirectoryHooks MakeDirectoryHooks();
   void OnSnapshot(const Snapshot& aSnapshot);
-  bool Ready() const;
+  bool IsReady() const;
   PeerRevision OwnRevision() const;
   void OnPeerRevision(const PeerRevision& aPeer);
 
@@ -71,18 +71,20 @@
   AttemptNamer mNamer;
   WorkspaceGate mGate;
   std::atomic<bool> mDraining{ false };
-  std::atomic<bool> mReady{ false }; // the controllers below exist
+  std::atomic<bool> mControllersReady{ false }; // the controllers below exist
   std::unique_ptr<ConfigController> mConfig;
   std::unique_ptr<MembershipController> mMembership;
+  // Only with FailingServers::kEject.
   std::unique_ptr<EjectionController> mEjection;
-  std::unique_ptr<StatusController> mStatus;
+  std::unique_ptr<StatusController> mStatus; // only with Dialect::kNative
   std::unique_ptr<LimitController> mLimits;
-  std::unique_ptr<NewsController> mNews; // null: failing servers are ejected
+  std::unique_ptr<NewsController> mNews; // only with FailingServers::kBreak
   std::unique_ptr<Dispatcher> mDispatcher;
   AttemptPool mAttemptPool;
   std::unique_ptr<HomeServer> mHomeServer;
   std::unique_ptr<EntryServer> mEntryServer;
-  std::unique_ptr<DirectoryController> mDirectory; // null: operators list all
+  // Null if operators list all boxes and servers in the configuration.
+  std::unique_ptr<DirectoryController> mDirectory;
   std::unique_ptr<RegistrationServer> mRegistration;
   std::unique_ptr<ReadinessServer> mReadiness;
   std::unique_ptr<AdminServer> mAdminServer;
--- a/packages/node/src/NodePeers.cpp
+++ b/packages/node/src/NodePeers.cpp
@@ -1,4 +1,4 @@
-// What a daemon answers to other boxes' control messages.
+// Handles control messages of other boxes.
 #include "NodePartsPriv.h"
 
 namespace porttiller {
@@ -16,14 +16,14 @@
 } // namespace
 
 wire::Envelope
-Node::Parts::AnswerAttempt(const wire::AttemptRequest& aRequest)
+Node::Parts::ReplyToAttemptQuery(const wire::AttemptRequest& aRequest)
 {
   AttemptReport report;
   const auto attempt = AttemptId::Parse(aRequest.attempt());
-  const Incarnation named(aRequest.home_incarnation());
+  const Incarnation expectedIncarnation(aRequest.home_incarnation());
   if (attempt) {
-    report = aRequest.revoke() ? mHome.Revoke(*attempt, named)
-                               : mHome.Query(*attempt, named);
+    report = aRequest.revoke() ? mHome.Revoke(*attempt, expectedIncarnation)
+                               : mHome.Query(*attempt, expectedIncarnation);
   }
   wire::Envelope envelope;
   auto* reply = envelope.mutable_attempt_reply();
@@ -43,22 +43,22 @@
 Node::Parts::HandlePeer(const wire::Envelope& aRequest,
                         const PeerReplier& aReply)
 {
-  if (!mReady) {
-    return; // the sender asks again
+  if (!mControllersReady) {
+    return; // without a reply; the sender sends again
   }
   if (aRequest.has_indirect_probe()) {
     mMembership->OnIndirectProbe(aRequest, aReply);
-  } else if (const auto answer = Answer(aRequest)) {
+  } else if (const auto answer = ReplyTo(aRequest)) {
     aReply(*answer);
   }
 }
 
 std::optional<wire::Envelope>
-Node::Parts::Answer(const wire::Envelope& aRequest)
+Node::Parts::ReplyTo(const wire::Envelope& aRequest)
 {
   switch (aRequest.body_case()) {
     case wire::Envelope::kAttempt:
-      return AnswerAttempt(aRequest.attempt());
+      return ReplyToAttemptQuery(aRequest.attempt());
     case wire::Envelope::kProbe:
       return mMembership->OnProbe(aRequest);
     case wire::Envelope::kDeltaRequest:
@@ -82,12 +82,12 @@
       if (mNews) {
         mNews->OnNews(aRequest.server_news());
       }
-      return std::nullopt; // nobody waits for a reply
+      return std::nullopt; // a one-way message
     case wire::Envelope::kWorkspaceReport:
       return mLimits->OnReport(aRequest);
     case wire::Envelope::kWorkspaceGrants:
       mLimits->OnGrants(aRequest.workspace_grants());
-      return std::nullopt; // nobody waits for a reply
+      return std::nullopt; // a one-way message
     case wire::Envelope::kAnnounce: {
       mConfig->OnAnnounce(aRequest);
       return MakeAck();
--- a/packages/node/src/NodeReport.cpp
+++ b/packages/node/src/NodeReport.cpp
@@ -1,4 +1,4 @@
-// What a daemon shows of itself: gauges and the state dump.
+// Exports the state of a daemon: gauges and the JSON of /state.
 #include "NodePartsPriv.h"
 
 #include "porttiller/config/JsonText.h"
@@ -28,7 +28,7 @@
   mMetrics.UnansweredRequests().Set(static_cast<double>(traffic.mUnanswered));
 }
 
-// Servers that this box's entry may send to, as far as they have told.
+// Servers in the configuration that have not announced that they are leaving.
 int
 Node::Parts::ServersInUse() const
 {
