--- a/packages/store/include/porttiller/store/NativeDialect.h
+++ b/packages/store/include/porttiller/store/NativeDialect.h
@@ -1,4 +1,4 @@
-// The product's own object API; docs/API.md describes it.
+// Porttiller's own object API; see docs/API.md.
 #pragma once
 
 #include "porttiller/config/StoreMessages.h"
@@ -6,7 +6,7 @@
 
 namespace porttiller {
 
-// Stateless: what to send, and how to read what comes back.
+// Stateless. Builds requests and decodes their responses.
 struct NativeDialect
 {
   static StoreCall Get(const ObjectKey& aKey);
--- a/packages/store/include/porttiller/store/ObjectClient.h
+++ b/packages/store/include/porttiller/store/ObjectClient.h
@@ -25,19 +25,19 @@
 {
   std::string mAddress; // "ip:port"
   Millis mTimeout{ 3000 };
-  // A read over a kept connection that has no answer after this is made again
-  // over a new one. Beside the time that it asks the store to wait.
+  // A read over a reused connection that has no answer after this is sent again
+  // over a new one. A watch gets the time of its long poll in addition.
   Millis mKeptPatience{ 500 };
   StoreDialect mDialect;
-  // A kept connection failed a read after so long. Called by the thread that
-  // reads.
+  // A read over a reused connection failed after aWaited and is sent again.
+  // Called on the reading thread.
   std::function<void(Millis aWaited, const std::string& aDetail)> mOnKeptFailed;
 };
 
-// One connection, kept open; each call may throw away a broken one. A device
-// on the path may forget a connection without an end or a reset: only time
-// tells. Every thread that talks to the platform owns its own client; only
-// Abort may be called from another.
+// One keep-alive connection, replaced when it fails. A NAT or a firewall on the
+// path may drop its state of a connection without a FIN or RST, so only a
+// time-out reveals a dead one. Not thread-safe: every thread that calls the
+// platform owns a client. Only Abort may be called from another thread.
 class ObjectClient
 {
 public:
@@ -50,32 +50,33 @@
   // Every object of a kind, ordered by name, as a full delta at the store's
   // revision.
   Result<ObjectDelta> List(const std::string& aKind);
-  // Waits up to aWait for changes of a kind after aFrom, a cursor of an
-  // earlier answer. kConflict when the store no longer knows them: list again.
+  // Long poll: waits up to aWait for changes of a kind after aFrom, a cursor of
+  // an earlier answer. kConflict if the store no longer has these changes; the
+  // caller must then list again.
   Result<ObjectDelta> Watch(const std::string& aKind,
                             std::uint64_t aFrom,
                             Millis aWait);
   // The whole configuration, as a full delta at its revision.
   Result<ObjectDelta> ListConfiguration();
-  // As Watch, for the configuration.
+  // Like Watch, for the configuration.
   Result<ObjectDelta> WatchConfiguration(std::uint64_t aFrom, Millis aWait);
-  // Each write returns the new version.
+  // Writes return the object's new version.
   Result<std::uint64_t> Create(const ObjectKey& aKey, const std::string& aSpec);
   Result<std::uint64_t> Update(const ObjectKey& aKey,
                                std::uint64_t aVersion,
                                const std::string& aSpec);
   Result<std::uint64_t> Delete(const ObjectKey& aKey, std::uint64_t aVersion);
 
-  // Ends the call that is being made, and every later one, as kUnavailable.
+  // Makes the call in progress and all later ones fail with kUnavailable.
   void Abort();
 
 private:
-  // The answer's body. Waits aExtraWait longer than usual.
+  // Returns the body of the answer. Waits for aExtraWait beyond the time-out.
   Result<std::string> Send(const StoreCall& aCall,
                            Millis aExtraWait = Millis(0));
-  // Over the connection that is there, or a new one.
+  // Sends once, without a retry over a new connection.
   Result<std::string> SendOnce(const StoreCall& aCall, Millis aAnswerTime);
-  bool IsKept();
+  bool IsConnected();
   void Configure(Poco::Net::HTTPClientSession& aSession, Millis aAnswerTime);
   Result<std::uint64_t> Write(const StoreCall& aCall);
   Result<ObjectPage> ReadPage(const std::string& aKind,
--- a/packages/store/include/porttiller/store/SettledWrite.h
+++ b/packages/store/include/porttiller/store/SettledWrite.h
@@ -1,15 +1,15 @@
-// Conditional writes whose lost answers are settled by reading back.
+// Conditional writes; reads the object back if the answer is lost.
 #pragma once
 
 #include "porttiller/store/ObjectClient.h"
 
 namespace porttiller {
 
-// Creates the object when aVersion is 0, else updates that version. A lost
-// answer is read back: the object holding exactly aSpec at a newer version
-// means that the write took effect (or an equal one, which is as good). The
-// spec of an object that several write carries its writer, so that one's own
-// effect can be told. kAmbiguous is left only when reading back fails too.
+// Creates the object if aVersion is 0, else updates that version. If the answer
+// is lost, the object is read back: aSpec at a newer version means that this
+// write, or one with the same spec, took effect. An object with several writers
+// names the writer in its spec, so that their writes differ. Returns kAmbiguous
+// only if the outcome is still unknown after that.
 tl::expected<std::uint64_t, StoreError>
 WriteSettled(ObjectClient& aClient,
              const ObjectKey& aKey,
--- a/packages/store/include/porttiller/store/StoreError.h
+++ b/packages/store/include/porttiller/store/StoreError.h
@@ -1,4 +1,4 @@
-// Errors of the platform's object API, as the layers above see them.
+// Errors of the platform's object API, independent of its dialect.
 #pragma once
 
 #include <string>
@@ -7,12 +7,14 @@
 
 enum class StoreErrorKind
 {
-  kUnavailable, // no answer; for a write: it was not sent
-  kAmbiguous,   // a write was sent and its answer is lost: it may have effect
+  // No answer, or an error status without a kind of its own. A write without an
+  // answer was not sent.
+  kUnavailable,
+  kAmbiguous, // a write was sent without an answer: it may take effect
   kNotFound,
-  kConflict,  // the object has another version, or exists already
-  kBadAnswer, // the platform answered something that is not its protocol
-  kRefused    // the platform refused the object itself
+  kConflict,  // the object has another version or already exists
+  kBadAnswer, // the platform's answer cannot be decoded
+  kRefused    // the platform rejected the object as invalid
 };
 
 struct StoreError
--- a/packages/store/src/ObjectClient.cpp
+++ b/packages/store/src/ObjectClient.cpp
@@ -27,7 +27,7 @@
 }
 
 StoreErrorKind
-KindOf(HTTPResponse::HTTPStatus aStatus)
+ErrorKindOf(HTTPResponse::HTTPStatus aStatus)
 {
   switch (aStatus) {
     case HTTPResponse::HTTP_NOT_FOUND:
@@ -43,10 +43,10 @@
   }
 }
 
-// An answer that the dialect cannot read.
+// An answer that the dialect cannot decode becomes kBadAnswer.
 template<typename T>
 ObjectClient::Result<T>
-Checked(Decoded<T> aDecoded)
+ToResult(Decoded<T> aDecoded)
 {
   if (!aDecoded) {
     return tl::make_unexpected(
@@ -113,14 +113,14 @@
     try {
       mSession->abort();
     } catch (const Poco::Exception&) {
-      return; // it was closed already
+      return; // already closed
     }
   }
 }
 
-// Whether an earlier call has opened the connection.
+// Whether the connection of an earlier call is open and can be reused.
 bool
-ObjectClient::IsKept()
+ObjectClient::IsConnected()
 {
   const std::lock_guard lock(mMutex);
   return mSession && mSession->connected();
@@ -131,10 +131,10 @@
                         Millis aAnswerTime)
 {
   const auto limit = ToTimespan(aAnswerTime);
-  const auto own = ToTimespan(mOptions.mTimeout);
-  aSession.setTimeout(own, own, limit);
+  const auto timeout = ToTimespan(mOptions.mTimeout);
+  aSession.setTimeout(timeout, timeout, limit);
   if (aSession.connected()) {
-    // POCO applies its own setting only when it connects.
+    // POCO applies setTimeout only when it connects.
     aSession.socket().setReceiveTimeout(limit);
   }
 }
@@ -143,12 +143,13 @@
 ObjectClient::Send(const StoreCall& aCall, Millis aExtraWait)
 {
   const bool isRead = aCall.mMethod == HTTPRequest::HTTP_GET;
-  if (isRead && IsKept()) {
+  if (isRead && IsConnected()) {
     const auto begin = Now();
-    const auto patience = std::min(mOptions.mKeptPatience, mOptions.mTimeout);
-    auto answer = SendOnce(aCall, aExtraWait + patience);
-    if (answer || IsKept()) {
-      return answer; // an error that the store itself gave
+    const auto readTimeout =
+      std::min(mOptions.mKeptPatience, mOptions.mTimeout);
+    auto answer = SendOnce(aCall, aExtraWait + readTimeout);
+    if (answer || IsConnected()) {
+      return answer; // an error is then the store's own answer
     }
     if (mOptions.mOnKeptFailed) {
       mOptions.mOnKeptFailed(std::chrono::duration_cast<Millis>(Now() - begin),
@@ -183,7 +184,7 @@
       return body;
     }
     return tl::make_unexpected(
-      MakeError(KindOf(response.getStatus()),
+      MakeError(ErrorKindOf(response.getStatus()),
                 std::to_string(response.getStatus()) + " " + body));
   } catch (const Poco::Exception& e) {
     DropSession();
@@ -200,7 +201,7 @@
   return std::visit(
     [&](const auto& aDialect) -> Result<Object> {
       return Send(aDialect.Get(aKey)).and_then([&](const std::string& aBody) {
-        return Checked(aDialect.ReadObject(aKey.mKind, aBody));
+        return ToResult(aDialect.ReadObject(aKey.mKind, aBody));
       });
     },
     mOptions.mDialect);
@@ -218,7 +219,8 @@
       return tl::make_unexpected(page.error());
     }
     if (after.empty()) {
-      // An object of this page may change before the next one is read.
+      // Watches continue from the first page: an object on it may change before
+      // the next page is read.
       whole.mTo = page->mDelta.mTo;
       whole.mCursor = page->mDelta.mCursor;
     }
@@ -228,7 +230,7 @@
     whole.mUnreadable.insert(whole.mUnreadable.end(),
                              page->mDelta.mUnreadable.begin(),
                              page->mDelta.mUnreadable.end());
-    // Names rise from page to page; anything else would not come to an end.
+    // Names ascend from page to page; the check prevents an endless loop.
     more = page->mNext > after;
     after = page->mNext;
   } while (more);
@@ -242,7 +244,7 @@
     [&](const auto& aDialect) -> Result<ObjectPage> {
       return Send(aDialect.List(aKind, aAfter))
         .and_then([&](const std::string& aBody) {
-          return Checked(aDialect.ReadPage(aKind, aBody));
+          return ToResult(aDialect.ReadPage(aKind, aBody));
         });
     },
     mOptions.mDialect);
@@ -255,7 +257,7 @@
     [&](const auto& aDialect) -> Result<ObjectDelta> {
       return Send(aDialect.Watch(aKind, aFrom, aWait), aWait)
         .and_then([&](const std::string& aBody) {
-          return Checked(aDialect.ReadChanges(aKind, aFrom, aBody));
+          return ToResult(aDialect.ReadChanges(aKind, aFrom, aBody));
         });
     },
     mOptions.mDialect);
@@ -268,7 +270,7 @@
     [&](const auto& aDialect) -> Result<ObjectDelta> {
       return Send(aDialect.ListConfiguration())
         .and_then([&](const std::string& aBody) {
-          return Checked(aDialect.ReadConfiguration(aBody));
+          return ToResult(aDialect.ReadConfiguration(aBody));
         });
     },
     mOptions.mDialect);
@@ -281,7 +283,7 @@
     [&](const auto& aDialect) -> Result<ObjectDelta> {
       return Send(aDialect.WatchConfiguration(aFrom, aWait), aWait)
         .and_then([&](const std::string& aBody) {
-          return Checked(aDialect.ReadConfigurationChanges(aFrom, aBody));
+          return ToResult(aDialect.ReadConfigurationChanges(aFrom, aBody));
         });
     },
     mOptions.mDialect);
@@ -293,7 +295,7 @@
   return Send(aCall).and_then([&](const std::string& aBody) {
     return std::visit(
       [&](const auto& aDialect) {
-        return Checked(aDialect.ReadWritten(aBody));
+        return ToResult(aDialect.ReadWritten(aBody));
       },
       mOptions.mDialect);
   });
--- a/packages/store/src/SettledWrite.cpp
+++ b/packages/store/src/SettledWrite.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr int kReadBackTries = 3;
+constexpr int kReadBackAttempts = 3;
 
-// The one text of a spec, whatever its writer's spacing.
+// The spec as canonical JSON text, without its writer's white space.
 std::string
 Normalized(const std::string& aSpec)
 {
@@ -35,7 +35,7 @@
          const std::string& aSpec,
          const StoreError& aLost)
 {
-  for (int i = 0; i < kReadBackTries; ++i) {
+  for (int i = 0; i < kReadBackAttempts; ++i) {
     const auto held = aClient.Get(aKey);
     if (held && held->mVersion > aVersion &&
         Normalized(held->mSpecJson) == Normalized(aSpec)) {
@@ -46,15 +46,15 @@
     if (!answered) {
       continue;
     }
-    // Still the old version: a request on its way may yet take effect, so
-    // nothing is certain until another write moves the version on.
-    const bool unmoved = held ? held->mVersion == aVersion : aVersion == 0;
-    if (unmoved) {
+    // Still the old version: the write may be in flight and take effect later.
+    // Only another write, which changes the version, rules that out.
+    const bool isUnchanged = held ? held->mVersion == aVersion : aVersion == 0;
+    if (isUnchanged) {
       return tl::make_unexpected(aLost);
     }
     return tl::make_unexpected(
       StoreError{ .mKind = StoreErrorKind::kConflict,
-                  .mDetail = "another writer came first" });
+                  .mDetail = "another writer changed the object first" });
   }
   return tl::make_unexpected(aLost);
 }
@@ -75,7 +75,7 @@
   if (settled || settled.error().mKind != StoreErrorKind::kAmbiguous) {
     return settled;
   }
-  // Writing the same version again is safe: at most one of the two can win.
+  // Sending the write again is safe: for one version at most one succeeds.
   auto again = WriteOnce(aClient, aKey, aVersion, aSpec);
   if (again || again.error().mKind == StoreErrorKind::kUnavailable) {
     return again ? again : settled;
--- a/packages/store/tests/ListPagesTest.cpp
+++ b/packages/store/tests/ListPagesTest.cpp
@@ -1,4 +1,4 @@
-// Lists of the store that come in several pages.
+// Paginated lists of the store.
 #include "porttiller/store/ObjectClient.h"
 
 #include "standin/ObjectStoreStandIn.h"
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("A list of several pages goes on where its first page was read")
+TEST_CASE("A watch after a paginated list starts at the list's first page")
 {
   standin::ObjectStoreStandIn store(kAddress);
   for (const char* name : { "a", "b", "c", "d" }) {
--- a/packages/store/tests/SettledWriteTest.cpp
+++ b/packages/store/tests/SettledWriteTest.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("A lost answer of a write that took effect is settled as written")
+TEST_CASE("A write that took effect succeeds though its answer is lost")
 {
   Fixture f;
   f.mPlatform.LoseWriteAnswers(1);
@@ -40,7 +40,7 @@
   CHECK(f.mPlatform.Writes() == 2);
 }
 
-TEST_CASE("A write lost on its way is written again, once")
+TEST_CASE("A write that is lost in transit is sent again, once")
 {
   Fixture f;
   f.mPlatform.LoseWrites(1);
@@ -48,7 +48,7 @@
   CHECK(f.mPlatform.Writes() == 1);
 }
 
-TEST_CASE("Of two writers of one version one wins and one sees a conflict")
+TEST_CASE("Of two writes to one version one succeeds and one gets a conflict")
 {
   Fixture f;
   const auto version = f.mPlatform.Put(kKey, R"({"writer":"x"})");
@@ -60,7 +60,7 @@
   CHECK(f.mPlatform.SpecOf(kKey) == R"({"writer":"a"})");
 }
 
-TEST_CASE("An outage is told as one")
+TEST_CASE("An outage of the store is reported as kUnavailable")
 {
   Fixture f;
   f.mPlatform.SetDown(true);
@@ -70,7 +70,7 @@
   CHECK(f.mClient.ListConfiguration().has_value());
 }
 
-TEST_CASE("Watch returns what came after a revision, deletions too")
+TEST_CASE("Watch returns the changes after a revision, deletions included")
 {
   Fixture f;
   f.mPlatform.Put({ "Service", "a" }, "{}");
@@ -79,9 +79,9 @@
   CHECK(list->mObjects.size() == 1);
   f.mPlatform.Remove({ "Service", "a" });
   f.mPlatform.Put({ "Other", "b" }, "{}");
-  const auto news = f.mClient.WatchConfiguration(list->mTo, Millis(1000));
-  REQUIRE(news.has_value());
-  REQUIRE(news->mObjects.size() == 1);
-  CHECK(news->mObjects[0].mDeleted);
-  CHECK(news->mTo == 3);
+  const auto changes = f.mClient.WatchConfiguration(list->mTo, Millis(1000));
+  REQUIRE(changes.has_value());
+  REQUIRE(changes->mObjects.size() == 1);
+  CHECK(changes->mObjects[0].mDeleted);
+  CHECK(changes->mTo == 3);
 }
--- a/packages/store/tests/SilentConnectionTest.cpp
+++ b/packages/store/tests/SilentConnectionTest.cpp
@@ -1,4 +1,4 @@
-// Connections to the store that go silent without an end or a reset.
+// Connections to the store that stop delivering data without a FIN or RST.
 #include "porttiller/store/ObjectClient.h"
 
 #include "standin/LinkStandIn.h"
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("A watch over a connection that went silent goes on over a new one")
+TEST_CASE("A watch over a silent connection continues over a new one")
 {
   Fixture f;
   const auto list = f.mClient.ListConfiguration();
@@ -40,7 +40,7 @@
   CHECK(changes->mObjects.size() == 1);
 }
 
-TEST_CASE("A kept connection that fails is reported once")
+TEST_CASE("The failure of a reused connection is reported once")
 {
   Fixture f;
   int failures = 0;
@@ -56,7 +56,7 @@
   CHECK(failures == 1);
 }
 
-TEST_CASE("An error that the store gives over a kept connection is the answer")
+TEST_CASE("An error answered over a reused connection is not retried")
 {
   Fixture f;
   REQUIRE(f.mClient.ListConfiguration().has_value());
