--- a/packages/telemetry/include/porttiller/telemetry/Log.h
+++ b/packages/telemetry/include/porttiller/telemetry/Log.h
@@ -1,4 +1,4 @@
-// Log lines as JSON: one event name and typed fields a line.
+// Structured log: each line is a JSON object with an event name and fields.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,18 @@
   kError
 };
 
-// Call once, before any line. aLevel as in Settings: "debug" to "error".
+// Call once, before the first line. aLevel is "debug", "info", "warning" or
+// "error", as in Settings.
 void
 SetUpLog(const std::string& aBox, const std::string& aLevel);
 
-// From now on; any thread may log meanwhile.
+// Applies to later lines. Other threads may log during the call.
 void
 SetLogLevel(const std::string& aLevel);
 
-// One line, written when the object goes. aEvent is a literal. An event that
-// repeats more often than kLogLinesPerSecond is counted instead, and the next
-// line of it says how many were left out.
+// One line, written by the destructor. aEvent must be a string literal. Each
+// event is limited to kLogLinesPerSecond; the next line written for it has the
+// number of lines left out.
 class LogLine
 {
 public:
@@ -41,10 +42,10 @@
   struct Writer;
 
   const LogLevel mLevel;
-  std::unique_ptr<Writer> mWriter; // null: the line is left out
+  std::unique_ptr<Writer> mWriter; // null: the line is not written
 };
 
-// A request handler threw: a fault of this program.
+// Logs an exception that left a request handler, which is a bug.
 void
 LogException(const std::string& aWhat);
 
--- a/packages/telemetry/include/porttiller/telemetry/Metrics.h
+++ b/packages/telemetry/include/porttiller/telemetry/Metrics.h
@@ -1,4 +1,4 @@
-// The daemon's metrics, as /metrics shows them.
+// The daemon's metrics, exported at /metrics.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -24,28 +24,28 @@
 
   void CountRequest(Outcome aOutcome);
   void CountRefusal(Refusal aRefusal);
-  // An object of the store or a peer's record that was left out.
+  // An object of the store or a record of a peer that was skipped.
   void CountUnreadable(UnreadableReason aReason);
-  // A delta of the configuration that was not taken over.
+  // A configuration delta that was not applied.
   void CountRefusedDelta(ApplyError aError);
   prometheus::Counter& Retries() { return *mRetries; }
-  // Attempts at a second server while the first one takes unusually long.
+  // Hedges: attempts at a second server while the first one is unusually slow.
   prometheus::Counter& Races() { return *mRaces; }
   prometheus::Counter& Revokes() { return *mRevokes; }
-  // Requests turned away with 429 because their workspace is at its limit.
+  // Requests rejected with 429 because their workspace is over its limit.
   prometheus::Counter& OverLimit() { return *mOverLimit; }
-  // Workspaces held to a share, as this box collects.
+  // Workspaces that this box, as their collector, limits to an admitted share.
   prometheus::Gauge& LimitedWorkspaces() { return *mLimitedWorkspaces; }
   prometheus::Counter& DroppedAnswers() { return *mDroppedAnswers; }
   prometheus::Counter& PlatformCalls() { return *mPlatformCalls; }
   prometheus::Counter& FloorRefusals() { return *mFloorRefusals; }
   prometheus::Counter& Ejections() { return *mEjections; }
   prometheus::Counter& Demotions() { return *mDemotions; }
-  // Seconds from a caller's request to its answer, less the time its home
-  // spent on it.
+  // Seconds from a caller's request to its answer, minus the time spent at its
+  // home.
   prometheus::Histogram& AddedLatency() { return *mAddedLatency; }
   prometheus::Gauge& ConfigRevision() { return *mConfigRevision; }
-  // Of one kind of control message; see ToText of PeerTransport.h.
+  // aKind is a group of control messages; see ToText in PeerTransport.h.
   prometheus::Gauge& ControlBytesSentOf(const std::string& aKind);
   prometheus::Gauge& ControlBytesSent() { return *mControlSent; }
   prometheus::Gauge& ControlBytesReceived() { return *mControlReceived; }
--- a/packages/telemetry/src/Log.cpp
+++ b/packages/telemetry/src/Log.cpp
@@ -19,11 +19,12 @@
 
 namespace {
 
-// Counts the lines of each event within the current second.
+// Limits the lines of each event to kLogLinesPerSecond.
 class RateLimit
 {
 public:
-  // The number of lines left out before this one; null to leave it out too.
+  // Returns the number of lines left out before this one, or null if this one
+  // is left out too.
   std::optional<std::int64_t> Admit(const char* aEvent, std::int64_t aSecond)
   {
     const std::lock_guard lock(mMutex);
@@ -48,7 +49,7 @@
   };
 
   std::mutex mMutex;
-  // Event names are few, and literals.
+  // By event name. Event names are literals, so the views stay valid, and few.
   std::map<std::string_view, Window> mWindows;
 };
 
@@ -60,21 +61,21 @@
 }
 
 std::string&
-BoxField()
+LogBox()
 {
   static std::string box;
   return box;
 }
 
 std::atomic<LogLevel>&
-LowestLevel()
+MinLevel()
 {
   static std::atomic<LogLevel> level{ LogLevel::kInfo };
   return level;
 }
 
 el::Level
-ToEl(LogLevel aLevel)
+ToEasyLoggingLevel(LogLevel aLevel)
 {
   switch (aLevel) {
     case LogLevel::kDebug:
@@ -107,7 +108,7 @@
 
 } // namespace
 
-// The text of one line, written as its fields come.
+// Builds the text of one line, field by field.
 struct LogLine::Writer
 {
   std::ostringstream mText;
@@ -117,7 +118,7 @@
 void
 SetUpLog(const std::string& aBox, const std::string& aLevel)
 {
-  BoxField() = aBox;
+  LogBox() = aBox;
   SetLogLevel(aLevel);
 }
 
@@ -136,10 +137,11 @@
                             LogLevel::kError }) {
     if (!enabled && aLevel == ToText(level)) {
       enabled = true;
-      LowestLevel() = level;
+      MinLevel() = level;
     }
-    configuration.set(
-      ToEl(level), el::ConfigurationType::Enabled, enabled ? "true" : "false");
+    configuration.set(ToEasyLoggingLevel(level),
+                      el::ConfigurationType::Enabled,
+                      enabled ? "true" : "false");
   }
   el::Loggers::reconfigureAllLoggers(configuration);
 }
@@ -150,13 +152,13 @@
   LogLine(LogLevel::kError, "handler_failed").With("error", aWhat);
 }
 
-// A line that is left out costs no more than this: on a box of a tenth of a
-// core, lines that were made and then dropped took 12% of a loaded day's
-// processor time (sampled stacks).
+// Decides here whether the line is written, before any formatting: on a box
+// with a tenth of a core under load, formatting lines that are then dropped
+// takes 12% of the CPU time.
 LogLine::LogLine(LogLevel aLevel, const char* aEvent)
   : mLevel(aLevel)
 {
-  if (aLevel < LowestLevel()) {
+  if (aLevel < MinLevel()) {
     return;
   }
   const Poco::Timestamp now;
@@ -170,7 +172,7 @@
        Poco::DateTimeFormatter::format(
          now, Poco::DateTimeFormat::ISO8601_FRAC_FORMAT));
   With("level", ToText(aLevel));
-  With("box", BoxField());
+  With("box", LogBox());
   With("event", aEvent);
   if (*leftOut > 0) {
     With("left_out", *leftOut);
--- a/packages/telemetry/src/Metrics.cpp
+++ b/packages/telemetry/src/Metrics.cpp
@@ -32,7 +32,7 @@
             .Add({});
 }
 
-const prometheus::Histogram::BucketBoundaries kSeconds = {
+const prometheus::Histogram::BucketBoundaries kAddedLatencyBucketsS = {
   0.0001, 0.0002, 0.0003, 0.0005, 0.00075, 0.0011,
   0.0015, 0.002,  0.005,  0.01,   0.05,    0.25
 };
@@ -73,7 +73,7 @@
          .Name("porttiller_added_latency_seconds")
          .Help("Time added to a request, less its home's time on it")
          .Register(*mRegistry)
-         .Add({}, kSeconds))
+         .Add({}, kAddedLatencyBucketsS))
   , mConfigRevision(MakeGauge(*mRegistry,
                               "porttiller_config_revision",
                               "Configuration revision in force"))
--- a/packages/telemetry/tests/LogTest.cpp
+++ b/packages/telemetry/tests/LogTest.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-// What is written to standard output while it lives.
-class Captured
+// Captures standard output during its lifetime.
+class CapturedOutput
 {
 public:
-  Captured()
+  CapturedOutput()
     : mBefore(std::cout.rdbuf(mText.rdbuf()))
   {
   }
-  ~Captured() { std::cout.rdbuf(mBefore); }
-  Captured(const Captured&) = delete;
-  Captured& operator=(const Captured&) = delete;
+  ~CapturedOutput() { std::cout.rdbuf(mBefore); }
+  CapturedOutput(const CapturedOutput&) = delete;
+  CapturedOutput& operator=(const CapturedOutput&) = delete;
 
   std::string Text() const { return mText.str(); }
 
@@ -36,10 +36,10 @@
 
 } // namespace
 
-TEST_CASE("A line is one JSON object, its texts escaped")
+TEST_CASE("A line is one JSON object with escaped strings")
 {
   SetUpLog("box-a", "info");
-  const Captured captured;
+  const CapturedOutput captured;
   LogLine(LogLevel::kInfo, "escaped")
     .With("text", "a \"quoted\"\nline")
     .With("count", 7);
@@ -54,19 +54,19 @@
 TEST_CASE("A line below the level is not written")
 {
   SetUpLog("box-a", "warning");
-  const Captured captured;
+  const CapturedOutput captured;
   LogLine(LogLevel::kInfo, "too_low").With("count", 1);
   CHECK(captured.Text().empty());
 }
 
-TEST_CASE("An event that repeats is bounded, and the bound is told")
+TEST_CASE("A repeated event is limited to kLogLinesPerSecond")
 {
   SetUpLog("box-a", "info");
-  const Captured captured;
+  const CapturedOutput captured;
   constexpr int kLines = 50 * kLogLinesPerSecond;
   for (int i = 0; i < kLines; ++i) {
     LogLine(LogLevel::kInfo, "repeated").With("count", i);
   }
-  // A second may begin meanwhile.
+  // The loop may run into the next second.
   CHECK(CountLines(captured.Text()) <= 2 * kLogLinesPerSecond);
 }
