--- a/testing/standin/ChildProcess.cpp
+++ b/testing/standin/ChildProcess.cpp
@@ -39,8 +39,8 @@
                                    O_WRONLY | O_CREAT | O_APPEND,
                                    kLogMode);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // A socket of this process that the child held, too, would stay open after
-  // its owner has closed it.
+  // A socket inherited by the child would stay open after this process has
+  // closed it.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   const int result = posix_spawn(
     &mId, aProgram.c_str(), &actions, nullptr, arguments.data(), environ);
--- a/testing/standin/ChildProcess.h
+++ b/testing/standin/ChildProcess.h
@@ -1,4 +1,4 @@
-// A process that a test or the demo started, and ends again by its id.
+// A child process of a test or of the demo, terminated by its process id.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -12,18 +12,18 @@
 class ChildProcess
 {
 public:
-  // Its output and errors are added to aLogFile.
+  // Appends its standard output and standard error to aLogFile.
   ChildProcess(const std::string& aProgram,
                const std::vector<std::string>& aArguments,
                const std::string& aLogFile);
-  // Ends it at once if it still runs.
+  // Kills the process with SIGKILL if it still runs.
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   void Signal(int aSignal) const;
-  // Its exit code once it has ended; -1 if it has not within aTime, or was
-  // ended by a signal.
+  // Returns the exit code, or -1 if the process is still running after aTime or
+  // was terminated by a signal.
   int WaitForExit(Millis aTime);
   pid_t Id() const { return mId; }
 
@@ -33,7 +33,7 @@
   int mExitCode = -1;
 };
 
-// True once something listens at aAddress ("ip:port").
+// Waits until aAddress ("ip:port") accepts a TCP connection; false after aTime.
 bool
 WaitForListener(const std::string& aAddress, Millis aTime);
 
--- a/testing/standin/HttpStandIn.cpp
+++ b/testing/standin/HttpStandIn.cpp
@@ -112,7 +112,7 @@
       .socket()
       .shutdown();
   } catch (const Poco::Exception&) {
-    // The other side was quicker.
+    // The peer has closed the connection already.
     return;
   }
 }
--- a/testing/standin/HttpStandIn.h
+++ b/testing/standin/HttpStandIn.h
@@ -1,5 +1,5 @@
-// What the HTTP stand-ins share: a server whose handler is a function, and a
-// way to cut a connection without an answer.
+// Shared by the HTTP stand-ins: a server whose handler is a function, and
+// helpers to read requests, send responses and drop connections.
 #pragma once
 
 #include <Poco/Net/HTTPServer.h>
@@ -18,7 +18,7 @@
 class HttpStandIn
 {
 public:
-  // Port 0 takes any free one.
+  // Port 0 selects any free port.
   HttpStandIn(const std::string& aAddress, Handler aHandler);
   ~HttpStandIn();
   HttpStandIn(const HttpStandIn&) = delete;
@@ -40,11 +40,11 @@
          int aStatus,
          const std::string& aBody);
 
-// Ends the connection at once, without an answer or in the middle of one.
+// Shuts the connection down at once, before or during a response.
 void
 CutConnection(Poco::Net::HTTPServerRequest& aRequest);
 
-// Blocks until the process is told to end.
+// Blocks until the process receives SIGTERM or SIGINT.
 void
 WaitForSignal();
 
--- a/testing/standin/LinkStandIn.cpp
+++ b/testing/standin/LinkStandIn.cpp
@@ -13,10 +13,12 @@
 constexpr Millis kSilentPoll{ 20 };
 constexpr int kBacklog = 64;
 
-// Moves what is there from one socket to the other, or drops it; false when it
-// ended.
+// Forwards or drops the bytes that are ready on one socket; false at the end of
+// the stream.
 bool
-Pump(Poco::Net::StreamSocket& aFrom, Poco::Net::StreamSocket& aTo, bool aDrop)
+ForwardOnce(Poco::Net::StreamSocket& aFrom,
+            Poco::Net::StreamSocket& aTo,
+            bool aDrop)
 {
   if (!aFrom.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
     return true;
@@ -91,7 +93,8 @@
   try {
     RelayUntilEnd(aClient, aNumber);
   } catch (const Poco::Exception&) {
-    // Either end went away: so does the relayed connection.
+    // One side has closed or reset its connection; close the other side as
+    // well.
     return;
   }
 }
@@ -119,11 +122,12 @@
     }
     Poco::Net::Socket::select(
       readable, none, none, Poco::Timespan(kPollMicros));
-    open = mForwardCut || Pump(aClient, server, aNumber <= mSilentForward);
-    open = open &&
-           (mBackwardCut || Pump(server, aClient, aNumber <= mSilentBackward));
+    open =
+      mForwardCut || ForwardOnce(aClient, server, aNumber <= mSilentForward);
+    open = open && (mBackwardCut ||
+                    ForwardOnce(server, aClient, aNumber <= mSilentBackward));
   }
-  // The other end of a silent connection is not told of its end.
+  // While a connection is silent, neither side sees the other one close it.
   while (!mStop && generation == mGeneration && IsSilent(aNumber)) {
     std::this_thread::sleep_for(kSilentPoll);
   }
--- a/testing/standin/LinkStandIn.h
+++ b/testing/standin/LinkStandIn.h
@@ -1,6 +1,6 @@
-// Stands in for the network between two processes: relays TCP connections and
-// can silently stop one direction, as a one-way cut does, or drop what is sent
-// over the open connections, as a device on the path does that forgets them.
+// Simulates the network between two processes: relays TCP connections, can
+// stall one direction, as a one-way network cut does, and can drop all data of
+// the open connections, as a NAT or firewall does that has lost their state.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -24,17 +24,17 @@
   LinkStandIn& operator=(const LinkStandIn&) = delete;
 
   std::string Address() const { return mListener.address().toString(); }
-  // While cut, bytes of that direction are held and nothing is closed; they
-  // arrive late once the cut ends.
+  // While a direction is cut, its bytes are buffered and no connection is
+  // closed; the bytes are delivered when the cut ends.
   void CutForward(bool aCut) { mForwardCut = aCut; }
   void CutBackward(bool aCut) { mBackwardCut = aCut; }
-  // Ends every open connection.
+  // Closes every open connection.
   void Reset();
-  // Drops what is sent over the connections that are open now, for good and
-  // without an end or a reset. Later ones work.
+  // Drops from now on all data of the connections that are open at the time of
+  // the call, without a FIN or RST. Connections opened later work.
   void SilenceForward() { mSilentForward = mOpened.load(); }
   void SilenceBackward() { mSilentBackward = mOpened.load(); }
-  void Silence(); // both ways
+  void Silence(); // both directions
 
 private:
   void Accept();
@@ -47,8 +47,8 @@
   std::atomic<bool> mForwardCut{ false };
   std::atomic<bool> mBackwardCut{ false };
   std::atomic<int> mGeneration{ 0 };
-  std::atomic<int> mOpened{ 0 }; // connections so far
-  // Connections up to this number.
+  std::atomic<int> mOpened{ 0 }; // number of accepted connections
+  // Connections up to and including this number are silent.
   std::atomic<int> mSilentForward{ 0 };
   std::atomic<int> mSilentBackward{ 0 };
   std::atomic<bool> mStop{ false };
--- a/testing/standin/MeshServerStandIn.cpp
+++ b/testing/standin/MeshServerStandIn.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Millis kTellTime{ 3000 };
-constexpr Millis kStep{ 10 };
+constexpr Millis kRpcTimeout{ 3000 };
+constexpr Millis kCancelPoll{ 10 };
 
 } // namespace
 
@@ -95,7 +95,7 @@
       ++mCancelled;
       return { .mClose = true };
     }
-    std::this_thread::sleep_for(kStep);
+    std::this_thread::sleep_for(kCancelPoll);
   }
   HttpReply reply{ .mAnswer = { .mStatus = 200,
                                 .mBody = mOptions.mId + "|" + id + "|" +
@@ -113,7 +113,7 @@
 MeshServerStandIn::Tell(const std::string& aCall, const std::string& aBody)
 {
   HttpPool pool({ .mAddress = mOptions.mRegistration });
-  const auto deadline = Now() + kTellTime;
+  const auto deadline = Now() + kRpcTimeout;
   auto exchange = pool.Begin(
     { .mMethod = "POST",
       .mTarget = "/porttiller/rpc?call=" + aCall + "&of=" + mOptions.mId,
@@ -128,7 +128,8 @@
 }
 
 std::string
-MeshServerStandIn::BeatBody(const std::string& aState, std::uint64_t aSequence)
+MeshServerStandIn::HeartbeatBody(const std::string& aState,
+                                 std::uint64_t aSequence)
 {
   return R"({"Service":")" + mOptions.mService + R"(","Address":")" +
          (mOptions.mAdvertised.empty() ? mOptions.mAddress
@@ -149,13 +150,13 @@
 bool
 MeshServerStandIn::Beat(const std::string& aState)
 {
-  return Tell("instances.heartbeat", BeatBody(aState, ++mSequence));
+  return Tell("instances.heartbeat", HeartbeatBody(aState, ++mSequence));
 }
 
 bool
 MeshServerStandIn::BeatLate()
 {
-  return Tell("instances.heartbeat", BeatBody("ready", 1));
+  return Tell("instances.heartbeat", HeartbeatBody("ready", 1));
 }
 
 bool
--- a/testing/standin/MeshServerStandIn.h
+++ b/testing/standin/MeshServerStandIn.h
@@ -1,5 +1,5 @@
-// Stands in for a backend server on the users' machines: runs requests, signs
-// its answers, sends heartbeats to its box, drains, leaves, and misbehaves.
+// A test double of the backend servers that register with the daemon of their
+// box: runs requests, signs its responses, sends heartbeats and injects faults.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -19,20 +19,20 @@
 {
   std::string mId;
   std::string mService;
-  std::string mAddress;      // where it listens
-  std::string mAdvertised;   // where others reach it; empty: as mAddress
-  std::string mRegistration; // where it tells about itself
+  std::string mAddress;      // listen address
+  std::string mAdvertised;   // address sent in heartbeats; empty: mAddress
+  std::string mRegistration; // the daemon's registration endpoint
   int mSlots = 4;
-  // Sent with each message; null: not sent.
+  // Start time in ms, sent with each message; null: not sent.
   std::optional<std::int64_t> mStartMs;
 };
 
 struct MeshServerFaults
 {
-  Millis mWork{ 0 };
-  bool mUnsigned = false;  // answers without the server's signature
-  bool mForeignId = false; // answers that belong to another request
-  bool mFull = false;      // refuses, and says that it did not run
+  Millis mWork{ 0 };       // processing time of a request
+  bool mUnsigned = false;  // responses lack the server's signature
+  bool mForeignId = false; // responses carry the id of another request
+  bool mFull = false;      // rejects requests with 503 and Not-Executed
 };
 
 class MeshServerStandIn
@@ -43,39 +43,39 @@
   const std::string& Id() const { return mOptions.mId; }
   const MeshServerOptions& Options() const { return mOptions; }
   void Set(const MeshServerFaults& aFaults);
-  // Ends, as a server that has left; what it ran stays known.
+  // Stops listening; the counts of run requests stay readable.
   void Stop() { mListener.reset(); }
-  // Tells its box about itself; true when that was acknowledged.
+  // Sends a heartbeat to its box; true when it was acknowledged.
   bool Beat(const std::string& aState = "ready");
-  // As Beat, with an earlier sequence number: a message that comes late.
+  // Sends a heartbeat with an old sequence number, as if it arrived late.
   bool BeatLate();
   bool Leave();
-  // Sends any call with any body; true when it was acknowledged.
+  // Sends a registration call with this body; true when it was acknowledged.
   bool Tell(const std::string& aCall, const std::string& aBody);
 
   int RunsOf(const std::string& aRequestId) const;
   int Runs() const { return mRuns; }
-  // Requests whose connection ended while they ran.
+  // Requests whose connection was closed while they ran.
   int Cancelled() const { return mCancelled; }
   std::string LastCallerService() const;
-  // The workspace that the request named when it ran last; "" for none.
+  // The workspace in the latest run of the request; "" for none.
   std::string WorkspaceOf(const std::string& aRequestId) const;
-  // The headers of every request, one a line.
+  // The headers of all requests, one per line.
   std::string SeenHeaders() const;
 
 private:
   HttpReply Handle(HttpCall& aCall);
   std::string StartField() const;
-  std::string BeatBody(const std::string& aState, std::uint64_t aSequence);
+  std::string HeartbeatBody(const std::string& aState, std::uint64_t aSequence);
 
   const MeshServerOptions mOptions;
   mutable std::mutex mMutex;
   MeshServerFaults mFaults;
   std::map<std::string, int> mRunsById;
   std::string mCallerService;
-  std::map<std::string, std::string> mWorkspaces; // by request
+  std::map<std::string, std::string> mWorkspaces; // by request id
   std::string mSeenHeaders;
-  std::uint64_t mSequence = 10;
+  std::uint64_t mSequence = 10; // above the number that BeatLate sends
   std::atomic<int> mRuns{ 0 };
   std::atomic<int> mCancelled{ 0 };
   std::unique_ptr<HttpListener> mListener;
--- a/testing/standin/ObjectStoreStandIn.cpp
+++ b/testing/standin/ObjectStoreStandIn.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kPageItems = 3; // few, so that tests see several pages
+constexpr std::size_t kPageItems = 3; // small, so that tests see several pages
 
 std::string
 Parameter(const Poco::URI& aUri, const std::string& aName)
@@ -21,7 +21,7 @@
 }
 
 std::string
-Joined(const std::vector<std::string>& aTexts)
+Join(const std::vector<std::string>& aTexts)
 {
   std::string joined;
   for (const auto& text : aTexts) {
@@ -30,16 +30,16 @@
   return joined;
 }
 
-// The object of a write: its name, the condition and the spec.
-struct Written
+// The parsed body of a write.
+struct WriteRequest
 {
   std::string mName;
-  std::uint64_t mRev = 0; // 0: no condition
+  std::uint64_t mRev = 0; // required current revision; 0: unconditional
   std::string mSpec;
 };
 
-Written
-ReadWritten(const std::string& aBody)
+WriteRequest
+ParseWrite(const std::string& aBody)
 {
   const auto document = ParseJsonObject(aBody);
   const auto metadata = (*document)->getObject("Metadata");
@@ -74,7 +74,7 @@
 ObjectStoreStandIn::ForgetHistory()
 {
   const std::lock_guard lock(mMutex);
-  mForgotten = mRevision;
+  mCompactedRevision = mRevision;
 }
 
 std::uint64_t
@@ -115,7 +115,7 @@
 }
 
 std::string
-ObjectStoreStandIn::TextOf(const Object& aObject) const
+ObjectStoreStandIn::ObjectJson(const Object& aObject) const
 {
   return R"({"Metadata":{"Name":")" + aObject.mKey.mName + R"(","Rev":)" +
          std::to_string(aObject.mVersion) +
@@ -177,7 +177,7 @@
   if (it == mObjects.end()) {
     return { .mStatus = 404, .mBody = "{}" };
   }
-  return { .mBody = TextOf(it->second) };
+  return { .mBody = ObjectJson(it->second) };
 }
 
 ObjectStoreStandIn::Reply
@@ -206,9 +206,9 @@
     if (more) {
       break;
     }
-    items.push_back(TextOf(object));
+    items.push_back(ObjectJson(object));
   }
-  return { .mBody = R"({"items":[)" + Joined(items) + R"(],"MorePages":)" +
+  return { .mBody = R"({"items":[)" + Join(items) + R"(],"MorePages":)" +
                     (more ? "true" : "false") + R"(,"StoreRevision":)" +
                     std::to_string(mRevision) + "}" };
 }
@@ -219,50 +219,50 @@
                           Millis aWait)
 {
   std::unique_lock lock(mMutex);
-  if (aFrom < mForgotten) {
+  if (aFrom < mCompactedRevision) {
     return { .mStatus = 410, .mBody = "{}" };
   }
   std::vector<std::string> events;
   mChanged.wait_for(lock, aWait, [&] {
     for (const auto& [key, object] : mObjects) {
       if (key.mKind == aKind && object.mVersion > aFrom) {
-        events.push_back(R"({"Deleted":false,"Object":)" + TextOf(object) +
+        events.push_back(R"({"Deleted":false,"Object":)" + ObjectJson(object) +
                          "}");
       }
     }
     return mDown || !events.empty();
   });
-  return { .mBody = R"({"events":[)" + Joined(events) +
-                    R"(],"StoreRevision":)" + std::to_string(mRevision) + "}" };
+  return { .mBody = R"({"events":[)" + Join(events) + R"(],"StoreRevision":)" +
+                    std::to_string(mRevision) + "}" };
 }
 
 ObjectStoreStandIn::Reply
 ObjectStoreStandIn::Create(const std::string& aKind, const std::string& aBody)
 {
-  const auto written = ReadWritten(aBody);
+  const auto written = ParseWrite(aBody);
   const ObjectKey key{ aKind, written.mName };
   const std::lock_guard lock(mMutex);
   if (mObjects.contains(key)) {
-    return { .mStatus = 409, .mBody = TextOf(mObjects[key]) };
+    return { .mStatus = 409, .mBody = ObjectJson(mObjects[key]) };
   }
   PutLocked(key, written.mSpec);
-  return { .mBody = TextOf(mObjects[key]) };
+  return { .mBody = ObjectJson(mObjects[key]) };
 }
 
 ObjectStoreStandIn::Reply
 ObjectStoreStandIn::Replace(const ObjectKey& aKey, const std::string& aBody)
 {
-  const auto written = ReadWritten(aBody);
+  const auto written = ParseWrite(aBody);
   const std::lock_guard lock(mMutex);
   const auto it = mObjects.find(aKey);
   if (it == mObjects.end()) {
     return { .mStatus = 404, .mBody = "{}" };
   }
   if (written.mRev != 0 && written.mRev != it->second.mVersion) {
-    return { .mStatus = 409, .mBody = TextOf(it->second) };
+    return { .mStatus = 409, .mBody = ObjectJson(it->second) };
   }
   PutLocked(aKey, written.mSpec);
-  return { .mBody = TextOf(mObjects[aKey]) };
+  return { .mBody = ObjectJson(mObjects[aKey]) };
 }
 
 } // namespace porttiller::standin
--- a/testing/standin/ObjectStoreStandIn.h
+++ b/testing/standin/ObjectStoreStandIn.h
@@ -1,6 +1,6 @@
-// Stands in for the store of the users' machines: objects by kind and name
-// under one counter of revisions, lists, watches and conditional writes, kept
-// in memory, with faults to switch on.
+// An in-memory test double of the object store: objects by kind and name with
+// one revision counter, paged lists, watches, conditional writes and injected
+// faults.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -26,18 +26,20 @@
   explicit ObjectStoreStandIn(const std::string& aAddress);
   ~ObjectStoreStandIn();
 
-  // Every call is refused with 503; waiting watches are cut.
+  // While down, every call is answered with 503. Pending watches return at
+  // once.
   void SetDown(bool aDown);
-  // The next aCount writes take effect and lose their answer.
+  // The next aCount writes take effect, but their responses are lost.
   void LoseWriteAnswers(int aCount) { mLoseAnswers = aCount; }
-  // Called behind each page of a list, before it is sent.
+  // Called after each page of a list has been read and before it is sent.
   void OnPage(std::function<void()> aHook) { mOnPage = std::move(aHook); }
-  // Watches from before now get 410.
+  // Watches from an earlier revision than the current one get 410 from now on.
   void ForgetHistory();
 
-  // Writes as the operator would. Returns the revision.
+  // Writes an object without the HTTP API, as an operator. Returns the
+  // revision.
   std::uint64_t Put(const ObjectKey& aKey, const std::string& aSpec);
-  // The spec, or "" when there is none.
+  // The spec, or "" if the object does not exist.
   std::string SpecOf(const ObjectKey& aKey) const;
   std::size_t Count(const std::string& aKind) const;
   std::uint64_t Calls() const { return mCalls; }
@@ -61,7 +63,7 @@
   Reply Create(const std::string& aKind, const std::string& aBody);
   Reply Replace(const ObjectKey& aKey, const std::string& aBody);
   std::uint64_t PutLocked(const ObjectKey& aKey, const std::string& aSpec);
-  std::string TextOf(const Object& aObject) const;
+  std::string ObjectJson(const Object& aObject) const;
 
   std::atomic<bool> mDown{ false };
   std::atomic<int> mLoseAnswers{ 0 };
@@ -69,7 +71,8 @@
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
   std::uint64_t mRevision = 0;
-  std::uint64_t mForgotten = 0; // changes up to here are not told any more
+  // Changes up to this revision can no longer be watched.
+  std::uint64_t mCompactedRevision = 0;
   std::map<ObjectKey, Object> mObjects;
   std::function<void()> mOnPage;
   std::unique_ptr<HttpStandIn> mServer;
--- a/testing/standin/PlatformStandIn.cpp
+++ b/testing/standin/PlatformStandIn.cpp
@@ -28,7 +28,7 @@
 }
 
 bool
-Wants(const std::string& aKinds, const std::string& aKind)
+ListsKind(const std::string& aKinds, const std::string& aKind)
 {
   return ("," + aKinds + ",").find("," + aKind + ",") != std::string::npos;
 }
@@ -57,7 +57,8 @@
   return ToJsonText(json);
 }
 
-// "/v1/objects/<kind>/<name>" to its key; an empty kind when it is no such.
+// The key of "/v1/objects/<kind>/<name>"; an empty kind for any other path. A
+// name may contain slashes.
 ObjectKey
 KeyOf(const Poco::URI& aUri)
 {
@@ -74,7 +75,7 @@
 }
 
 bool
-TakeOne(std::atomic<int>& aCount)
+DecrementIfPositive(std::atomic<int>& aCount)
 {
   int left = aCount;
   while (left > 0) {
@@ -119,7 +120,7 @@
                        .mVersion = mRevision,
                        .mDeleted = aDeleted,
                        .mSpecJson = aSpec };
-  mLog.push_back(object);
+  mChanges.push_back(object);
   if (aDeleted) {
     mObjects.erase(aKey);
   } else {
@@ -160,7 +161,7 @@
     const auto kinds = Parameter(uri, "kinds");
     Poco::JSON::Array items;
     for (const auto& [key, object] : mObjects) {
-      if (Wants(kinds, key.mKind)) {
+      if (ListsKind(kinds, key.mKind)) {
         items.add(ToJson(object));
       }
     }
@@ -181,16 +182,18 @@
   const auto from = ParseUnsigned(Parameter(uri, "from")).value_or(0);
   const Millis wait(ParseUnsigned(Parameter(uri, "wait_ms")).value_or(0));
   std::unique_lock lock(mMutex);
-  const auto hasNews = [&] {
-    return mDown ||
-           std::any_of(mLog.rbegin(), mLog.rend(), [&](const Object& aObject) {
-             return aObject.mVersion > from && Wants(kinds, aObject.mKey.mKind);
-           });
+  const auto hasChanges = [&] {
+    return mDown || std::any_of(mChanges.rbegin(),
+                                mChanges.rend(),
+                                [&](const Object& aObject) {
+                                  return aObject.mVersion > from &&
+                                         ListsKind(kinds, aObject.mKey.mKind);
+                                });
   };
-  mChanged.wait_for(lock, wait, hasNews);
+  mChanged.wait_for(lock, wait, hasChanges);
   Poco::JSON::Array items;
-  for (const auto& object : mLog) {
-    if (object.mVersion > from && Wants(kinds, object.mKey.mKind)) {
+  for (const auto& object : mChanges) {
+    if (object.mVersion > from && ListsKind(kinds, object.mKey.mKind)) {
       items.add(ToJson(object));
     }
   }
@@ -238,13 +241,13 @@
     CutConnection(aRequest);
     return;
   }
-  std::this_thread::sleep_for(Millis(mSlow));
+  std::this_thread::sleep_for(Millis(mDelayMs));
   const auto body = ReadBody(aRequest);
   Reply reply;
   if (aRequest.getMethod() == "GET") {
     reply = uri.starts_with(kWatch) ? Watch(uri) : Read(uri);
   } else {
-    if (TakeOne(mLoseWrites)) {
+    if (DecrementIfPositive(mLoseWrites)) {
       CutConnection(aRequest);
       return;
     }
@@ -252,7 +255,7 @@
                         KeyOf(Poco::URI(uri)),
                         ParseUnsigned(aRequest.get("If-Match", "")).value_or(0),
                         body);
-    if (TakeOne(mLoseAnswers)) {
+    if (DecrementIfPositive(mLoseAnswers)) {
       CutConnection(aRequest);
       return;
     }
@@ -271,7 +274,7 @@
   const auto json = ParseJsonObject(ReadBody(aRequest));
   if (json) {
     SetDown((*json)->optValue("down", mDown.load()));
-    mSlow = (*json)->optValue("slow_ms", mSlow.load());
+    mDelayMs = (*json)->optValue("slow_ms", mDelayMs.load());
     mLoseAnswers = (*json)->optValue("lose_write_answers", 0);
     mLoseWrites = (*json)->optValue("lose_writes", 0);
   }
--- a/testing/standin/PlatformStandIn.h
+++ b/testing/standin/PlatformStandIn.h
@@ -1,5 +1,5 @@
-// Stands in for the platform: the HTTP object API with versions, conditional
-// updates and watches, kept in memory, with faults to switch on.
+// An in-memory test double of the platform: the HTTP object API with versions,
+// conditional updates and watches, with injected faults.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -22,18 +22,18 @@
 
   std::string Address() const { return mServer->Address(); }
 
-  // Faults.
+  // Injected faults.
   void SetDown(bool aDown);
-  void SetSlow(Millis aDelay) { mSlow = aDelay.count(); }
-  // The next aCount writes take effect and lose their answer.
+  void SetSlow(Millis aDelay) { mDelayMs = aDelay.count(); }
+  // The next aCount writes take effect, but their responses are lost.
   void LoseWriteAnswers(int aCount) { mLoseAnswers = aCount; }
-  // The next aCount writes are lost before they take effect.
+  // The next aCount writes have no effect, and their connections are closed.
   void LoseWrites(int aCount) { mLoseWrites = aCount; }
 
-  // Writes as an operator would, without the API. Returns the version.
+  // Writes an object without the HTTP API, as an operator. Returns the version.
   std::uint64_t Put(const ObjectKey& aKey, const std::string& aSpec);
   void Remove(const ObjectKey& aKey);
-  // The spec, or "" when there is none.
+  // The spec, or "" if the object does not exist.
   std::string SpecOf(const ObjectKey& aKey) const;
   std::uint64_t Calls() const { return mCalls; }
   std::uint64_t Writes() const { return mWrites; }
@@ -60,7 +60,7 @@
                           const std::string& aSpec);
 
   std::atomic<bool> mDown{ false };
-  std::atomic<std::int64_t> mSlow{ 0 };
+  std::atomic<std::int64_t> mDelayMs{ 0 };
   std::atomic<int> mLoseAnswers{ 0 };
   std::atomic<int> mLoseWrites{ 0 };
   std::atomic<std::uint64_t> mCalls{ 0 };
@@ -69,7 +69,7 @@
   std::condition_variable mChanged;
   std::uint64_t mRevision = 0;
   std::map<ObjectKey, Object> mObjects;
-  std::vector<Object> mLog;
+  std::vector<Object> mChanges;
   std::unique_ptr<HttpStandIn> mServer;
 };
 
--- a/testing/standin/ServerStandIn.cpp
+++ b/testing/standin/ServerStandIn.cpp
@@ -48,7 +48,7 @@
 }
 
 int
-ServerStandIn::MostRuns() const
+ServerStandIn::MaxRuns() const
 {
   const std::lock_guard lock(mMutex);
   int most = 0;
@@ -61,7 +61,7 @@
 void
 ServerStandIn::CountRun(const std::string& aId)
 {
-  ++mTotal;
+  ++mTotalRuns;
   if (aId.empty()) {
     return;
   }
@@ -70,7 +70,7 @@
 }
 
 ServerBehaviour
-ServerStandIn::Current(TimePoint aNow) const
+ServerStandIn::CurrentBehaviour(TimePoint aNow) const
 {
   const std::lock_guard lock(mMutex);
   auto behaviour = mBehaviour;
@@ -93,7 +93,7 @@
     return;
   }
   if (aRequest.getURI() == "/health") {
-    SendText(aResponse, 200, R"({"healthy":true})"); // it always says so
+    SendText(aResponse, 200, R"({"healthy":true})"); // also while it fails
     return;
   }
   if (aRequest.getURI() == "/load") {
@@ -110,7 +110,7 @@
 ServerStandIn::Run(Poco::Net::HTTPServerRequest& aRequest,
                    Poco::Net::HTTPServerResponse& aResponse)
 {
-  const auto behaviour = Current(Now());
+  const auto behaviour = CurrentBehaviour(Now());
   const auto id = aRequest.get("X-Request-Id", "");
   const auto body = ReadBody(aRequest);
   if (behaviour.mDraining) {
@@ -123,7 +123,7 @@
   if (behaviour.mServiceMs > 0) {
     std::this_thread::sleep_for(Millis(behaviour.mServiceMs));
   }
-  const auto turn = static_cast<int>(mTotal % kPercent);
+  const auto turn = static_cast<int>(mTotalRuns % kPercent);
   const bool hit = behaviour.mFailPrefix.empty() ||
                    aRequest.getURI().starts_with(behaviour.mFailPrefix);
   if (hit && turn < behaviour.mFailPercent) {
@@ -164,8 +164,8 @@
   }
   SendText(aResponse,
            200,
-           "{\"runs\":" + std::to_string(mTotal) +
-             ",\"most_runs_of_one_id\":" + std::to_string(MostRuns()) + "}");
+           "{\"runs\":" + std::to_string(mTotalRuns) +
+             ",\"most_runs_of_one_id\":" + std::to_string(MaxRuns()) + "}");
 }
 
 } // namespace porttiller::standin
--- a/testing/standin/ServerStandIn.h
+++ b/testing/standin/ServerStandIn.h
@@ -1,5 +1,5 @@
-// Stands in for a backend server: echoes each request with its id, counts how
-// often each id ran, and fails in the ways that backend servers fail.
+// A test double of a backend server: echoes each request with its id, counts
+// the runs of each id, and injects faults.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -13,14 +13,14 @@
 
 struct ServerBehaviour
 {
-  int mServiceMs = 0;      // time that each request takes
-  int mFailPercent = 0;    // answered with 500
-  std::string mFailPrefix; // only paths below this fail, if set
-  int mHalfPercent = 0;    // body cut short
-  int mCloseEvery = 0;     // ran, then closed without an answer
-  int mFlapMs = 0;         // sick and well in turns of this length
-  int mColdMs = 0;         // slow for this long after the change
-  bool mDraining = false;  // refuses, and says that it is leaving
+  int mServiceMs = 0;      // processing time of a request
+  int mFailPercent = 0;    // share of requests answered with 500
+  std::string mFailPrefix; // if set, only paths with this prefix fail
+  int mHalfPercent = 0;    // share of responses with a truncated body
+  int mCloseEvery = 0;    // every nth request runs but gets no response; 0: off
+  int mFlapMs = 0;        // failures turn on and off at this interval; 0: off
+  int mColdMs = 0;        // ten times slower for this long after Set
+  bool mDraining = false; // rejects requests as not run, reason "leaving"
 };
 
 class ServerStandIn
@@ -30,11 +30,11 @@
 
   std::string Address() const { return mServer->Address(); }
   void Set(const ServerBehaviour& aBehaviour);
-  // How often the request with this X-Request-Id was run.
+  // Number of runs of the request with this X-Request-Id.
   int RunsOf(const std::string& aId) const;
-  std::uint64_t Runs() const { return mTotal; }
-  // The most that any one id was run.
-  int MostRuns() const;
+  std::uint64_t Runs() const { return mTotalRuns; }
+  // The highest number of runs of a single request id.
+  int MaxRuns() const;
 
 private:
   void Handle(Poco::Net::HTTPServerRequest& aRequest,
@@ -43,7 +43,7 @@
                Poco::Net::HTTPServerResponse& aResponse);
   void Run(Poco::Net::HTTPServerRequest& aRequest,
            Poco::Net::HTTPServerResponse& aResponse);
-  ServerBehaviour Current(TimePoint aNow) const;
+  ServerBehaviour CurrentBehaviour(TimePoint aNow) const;
   void CountRun(const std::string& aId);
 
   std::string mName;
@@ -51,12 +51,12 @@
   ServerBehaviour mBehaviour;
   TimePoint mSince;
   std::map<std::string, int> mRuns;
-  std::atomic<std::uint64_t> mTotal{ 0 };
+  std::atomic<std::uint64_t> mTotalRuns{ 0 };
   std::atomic<int> mInFlight{ 0 };
   std::unique_ptr<HttpStandIn> mServer;
 };
 
-// The body that a server sends back for a request.
+// The response body of server aServer for a request.
 std::string
 EchoOf(const std::string& aServer,
        const std::string& aId,
--- a/testing/standin/platform_standin.cpp
+++ b/testing/standin/platform_standin.cpp
@@ -1,4 +1,4 @@
-// The platform stand-in as a process: platform_standin IP:PORT
+// Runs the platform stand-in as a process: platform_standin IP:PORT
 #include "standin/PlatformStandIn.h"
 
 #include <iostream>
--- a/testing/standin/server_standin.cpp
+++ b/testing/standin/server_standin.cpp
@@ -1,4 +1,4 @@
-// The backend server stand-in as a process: server_standin NAME IP:PORT
+// Runs the backend server stand-in as a process: server_standin NAME IP:PORT
 #include "standin/ServerStandIn.h"
 
 #include <iostream>
