--- a/bench/CapacityBench.cpp
+++ b/bench/CapacityBench.cpp
@@ -1,6 +1,5 @@
-// Slopes for docs/CAPACITY.md: memory for each object, time for each message
-// and change, control traffic against the number of boxes:
-// CapacityBench [quick]
+// Unit costs for docs/CAPACITY.md: memory per object, time per message and per
+// change, and control traffic by the number of boxes. CapacityBench [quick]
 #include "Figure.h"
 #include "fleet/Fleet.h"
 #include "porttiller/config/Snapshot.h"
@@ -29,10 +28,10 @@
 constexpr double kFullSeconds = 12.0;
 
 void
-PrintPlain(const std::string& aMeasure,
-           const std::string& aScenario,
-           double aValue,
-           const std::string& aUnit)
+PrintFigure(const std::string& aMeasure,
+            const std::string& aScenario,
+            double aValue,
+            const std::string& aUnit)
 {
   Print({ aMeasure, aScenario, "porttiller", aValue, aUnit });
 }
@@ -51,8 +50,8 @@
   return std::chrono::duration<double>(Now() - start).count();
 }
 
-// A configuration at some size; every object is new at its own revision.
-class Store
+// Builds a configuration delta; each added object gets the next revision.
+class DeltaBuilder
 {
 public:
   void Add(const std::string& aKind,
@@ -112,10 +111,10 @@
   ObjectDelta mDelta;
 };
 
-// Heap that a node holds for a configuration, its typed form included.
-struct Held
+// A configuration as a daemon holds it: the objects and the typed snapshot.
+struct LoadedConfiguration
 {
-  explicit Held(const ObjectDelta& aDelta)
+  explicit LoadedConfiguration(const ObjectDelta& aDelta)
   {
     mSnapshot = mBuilder.Build(mObjects, *mObjects.Apply(aDelta));
   }
@@ -129,81 +128,81 @@
 BytesEach(const ObjectDelta& aDelta, int aCount)
 {
   const double before = HeapBytes();
-  const Held held(aDelta);
+  const LoadedConfiguration loaded(aDelta);
   return (HeapBytes() - before) / aCount;
 }
 
 void
 MeasureObjects()
 {
-  Store services;
+  DeltaBuilder services;
   services.AddServices(kTargetServices);
-  PrintPlain("heap_per_service",
-             "250 services",
-             BytesEach(services.mDelta, kTargetServices),
-             "bytes");
-  Store boxes;
+  PrintFigure("heap_per_service",
+              "250 services",
+              BytesEach(services.mDelta, kTargetServices),
+              "bytes");
+  DeltaBuilder boxes;
   boxes.AddBoxes(kTargetBoxes);
-  PrintPlain("heap_per_box",
-             "1300 boxes",
-             BytesEach(boxes.mDelta, kTargetBoxes),
-             "bytes");
-  Store servers;
+  PrintFigure("heap_per_box",
+              "1300 boxes",
+              BytesEach(boxes.mDelta, kTargetBoxes),
+              "bytes");
+  DeltaBuilder servers;
   servers.AddServices(kTargetServices);
   servers.AddServers(kTargetServers);
-  PrintPlain("heap_per_server",
-             "12000 servers",
-             BytesEach(servers.mDelta, kTargetServers),
-             "bytes");
-  Store routes;
+  PrintFigure("heap_per_server",
+              "12000 servers",
+              BytesEach(servers.mDelta, kTargetServers),
+              "bytes");
+  DeltaBuilder routes;
   routes.AddServices(kTargetServices);
   routes.AddRoutes(kTargetRoutes);
-  PrintPlain("heap_per_route",
-             "4900 routes",
-             BytesEach(routes.mDelta, kTargetRoutes),
-             "bytes");
+  PrintFigure("heap_per_route",
+              "4900 routes",
+              BytesEach(routes.mDelta, kTargetRoutes),
+              "bytes");
 }
 
 void
 MeasureTargetConfiguration()
 {
-  Store store;
+  DeltaBuilder store;
   store.AddServices(kTargetServices);
   store.AddBoxes(kTargetBoxes);
   store.AddServers(kTargetServers);
   store.AddRoutes(kTargetRoutes);
   const double before = HeapBytes();
-  Held held(store.mDelta);
-  PrintPlain(
+  LoadedConfiguration loaded(store.mDelta);
+  PrintFigure(
     "heap_configuration", "target", (HeapBytes() - before) / (1 << 20), "MB");
   std::string wire;
   const double encode = Seconds(
-    [&] { wire = EncodeDelta(held.mObjects.Since(0)).SerializeAsString(); });
-  PrintPlain("full_delta_bytes",
-             "target",
-             static_cast<double>(wire.size()) / (1 << 20),
-             "MB");
-  PrintPlain("full_delta_encode", "target", encode * 1e3, "ms");
+    [&] { wire = EncodeDelta(loaded.mObjects.Since(0)).SerializeAsString(); });
+  PrintFigure("full_delta_bytes",
+              "target",
+              static_cast<double>(wire.size()) / (1 << 20),
+              "MB");
+  PrintFigure("full_delta_encode", "target", encode * 1e3, "ms");
 
-  Store change;
-  change.mDelta.mTo = held.mObjects.Revision();
+  DeltaBuilder change;
+  change.mDelta.mTo = loaded.mObjects.Revision();
   change.Add("Service", "service-1", R"({"floor_slots":100})");
-  change.mDelta.mFrom = held.mObjects.Revision();
+  change.mDelta.mFrom = loaded.mObjects.Revision();
   const double one = Seconds([&] {
-    held.mSnapshot =
-      held.mBuilder.Build(held.mObjects, *held.mObjects.Apply(change.mDelta));
+    loaded.mSnapshot = loaded.mBuilder.Build(
+      loaded.mObjects, *loaded.mObjects.Apply(change.mDelta));
   });
-  PrintPlain("one_change", "target", one * 1e3, "ms");
+  PrintFigure("one_change", "target", one * 1e3, "ms");
   constexpr int kLookups = 200'000;
   const double lookups = Seconds([&] {
     for (int i = 0; i < kLookups; ++i) {
-      held.mSnapshot->mRoutes.Find(
+      loaded.mSnapshot->mRoutes.Find(
         "",
         "GET",
         "/workspace-" + std::to_string(i % kTargetRoutes) + "/api/x/y");
     }
   });
-  PrintPlain("route_lookup", "4900 routes", lookups / kLookups * 1e6, "us");
+  PrintFigure("route_lookup", "4900 routes", lookups / kLookups * 1e6, "us");
 }
 
 void
@@ -221,11 +220,11 @@
       registry.Finish(id, Outcome::kRun, nullptr);
     }
   });
-  PrintPlain("heap_per_attempt_record",
-             "1300 entries",
-             (HeapBytes() - before) / kRecords,
-             "bytes");
-  PrintPlain(
+  PrintFigure("heap_per_attempt_record",
+              "1300 entries",
+              (HeapBytes() - before) / kRecords,
+              "bytes");
+  PrintFigure(
     "attempt_admit_finish", "1300 entries", time / kRecords * 1e6, "us");
 }
 
@@ -251,16 +250,16 @@
   }
   const double seconds =
     static_cast<double>(std::clock() - cpu) / CLOCKS_PER_SEC;
-  PrintPlain("processor_per_message",
-             "request and reply, each side",
-             seconds / kMessages / 2 * 1e6,
-             "us");
+  PrintFigure("processor_per_message",
+              "request and reply, each side",
+              seconds / kMessages / 2 * 1e6,
+              "us");
 }
 
-// Ticks of user and system time, and resident kilobytes, of a process.
+// Processor time and resident memory of a process.
 struct ProcessUse
 {
-  double mSeconds = 0.0;
+  double mSeconds = 0.0; // user and system time
   double mResidentMb = 0.0;
 };
 
@@ -282,13 +281,13 @@
   return use;
 }
 
-// Control traffic, processor time and memory of idle daemons, and the time
-// until a change is in force on all of them.
+// Control traffic, processor time and memory of an idle daemon, and the time
+// until a change is in force on all boxes.
 void
 MeasureFleet(int aBoxes, double aSeconds)
 {
   fleet::Fleet boxes({ .mBoxes = aBoxes, .mZones = 3, .mPortBase = kPortBase });
-  std::this_thread::sleep_for(Millis(4000)); // probes settle
+  std::this_thread::sleep_for(Millis(4000)); // until membership has settled
   const auto bytes = [&] {
     return boxes.Metric(0, "porttiller_control_sent_bytes") +
            boxes.Metric(0, "porttiller_control_received_bytes");
@@ -301,20 +300,20 @@
   });
   const auto use = UseOf(boxes.BoxProcess(0));
   const auto scenario = std::to_string(aBoxes) + " boxes";
-  PrintPlain(
+  PrintFigure(
     "control_traffic", scenario, (bytes() - bytesBefore) / seconds, "bytes/s");
-  PrintPlain("control_processor",
-             scenario,
-             100.0 * (use.mSeconds - useBefore.mSeconds) / seconds,
-             "% of a core");
-  PrintPlain("resident", scenario, use.mResidentMb, "MB");
+  PrintFigure("control_processor",
+              scenario,
+              100.0 * (use.mSeconds - useBefore.mSeconds) / seconds,
+              "% of a core");
+  PrintFigure("resident", scenario, use.mResidentMb, "MB");
   const double spread = Seconds([&] {
     boxes.Put("Service", "ledger", R"({"floor_slots":1})");
     for (int box = 0; box < aBoxes; ++box) {
       boxes.WaitInForce(box, Millis(10'000));
     }
   });
-  PrintPlain("change_in_force_everywhere", scenario, spread * 1e3, "ms");
+  PrintFigure("change_in_force_everywhere", scenario, spread * 1e3, "ms");
 }
 
 } // namespace
--- a/bench/FaultsBench.cpp
+++ b/bench/FaultsBench.cpp
@@ -1,7 +1,7 @@
-// Detection time, false ejections and wrong requests, by scenario and policy,
+// Detection time, false ejections and failed requests by scenario and policy,
 // in simulated time: FaultsBench [SEEDS [POLICY [SCENARIO]]]
 #include "Figure.h"
-#include "sim/World.h"
+#include "sim/Simulation.h"
 
 #include <atomic>
 #include <cstdlib>
@@ -15,7 +15,8 @@
 
 constexpr int kDefaultSeeds = 200;
 constexpr int kThreads = 6;
-// The threshold's trade-off curve, on the two services where it hurts most.
+// Detector thresholds of the trade-off between the detection time of gray
+// errors and false ejections after noise bursts.
 constexpr double kThresholds[] = { 6.0, 12.0, 24.0, 48.0 };
 constexpr const char* kPolicies[] = { "porttiller",
                                       "consecutive-failures",
@@ -33,7 +34,7 @@
   const auto work = [&, options = aOptions]() mutable {
     for (auto i = next++; i < results.size(); i = next++) {
       options.mSeed = i + 1;
-      results[i] = World(aDeployment, aScenario, options).Run();
+      results[i] = Simulation(aDeployment, aScenario, options).Run();
     }
   };
   std::vector<std::thread> threads;
@@ -79,7 +80,7 @@
 void
 PrintRuns(const std::string& aScenario,
           const std::string& aPolicy,
-          bool aNobodyToBlame,
+          bool aNoServerAtFault,
           const std::vector<RunResult>& aResults)
 {
   std::vector<double> detection;
@@ -93,10 +94,10 @@
       ++missed;
     }
     falseEjections.push_back(result.mFalseEjections);
-    wrong.push_back(100.0 * result.mWrongRequests / result.mRequests);
+    wrong.push_back(100.0 * result.mFailedRequests / result.mRequests);
   }
   const auto runs = static_cast<double>(aResults.size());
-  if (!aNobodyToBlame) {
+  if (!aNoServerAtFault) {
     Print({ "detection_ms_p50",
             aScenario,
             aPolicy,
@@ -123,7 +124,7 @@
   Print({ "wrong_requests", aScenario, aPolicy, Mean(wrong), "% of requests" });
 }
 
-// What to leave out; an empty name leaves out nothing.
+// Restricts the runs to one policy or scenario; an empty name selects all.
 struct Selection
 {
   std::string mPolicy;
@@ -131,7 +132,7 @@
 };
 
 bool
-Wanted(const std::string& aName, const std::string& aWanted)
+IsSelected(const std::string& aName, const std::string& aWanted)
 {
   return aWanted.empty() || aName == aWanted;
 }
@@ -142,14 +143,14 @@
   for (const auto& deployment : Deployments()) {
     for (const auto& scenario : Scenarios()) {
       for (const char* policy : kPolicies) {
-        if (!Wanted(policy, aSelection.mPolicy) ||
-            !Wanted(scenario.mName, aSelection.mScenario)) {
+        if (!IsSelected(policy, aSelection.mPolicy) ||
+            !IsSelected(scenario.mName, aSelection.mScenario)) {
           continue;
         }
         const auto results =
           RunSeeds(deployment, scenario, { .mPolicy = policy }, aSeeds);
         const auto name = deployment.mName + "/" + scenario.mName;
-        PrintRuns(name, policy, scenario.mNobodyToBlame, results);
+        PrintRuns(name, policy, scenario.mNoServerAtFault, results);
         if (scenario.mKind == FaultKind::kOverload) {
           PrintOverload(name, policy, results);
         }
@@ -171,7 +172,7 @@
         }
         PrintRuns(deployment.mName + "/" + scenario.mName,
                   "porttiller@" + std::to_string(static_cast<int>(threshold)),
-                  scenario.mNobodyToBlame,
+                  scenario.mNoServerAtFault,
                   RunSeeds(deployment, scenario, options, aSeeds));
       }
     }
--- a/bench/Figure.h
+++ b/bench/Figure.h
@@ -1,4 +1,4 @@
-// One measured figure as a JSON line.
+// A benchmark result, printed as a JSON line.
 #pragma once
 
 #include <string>
@@ -19,7 +19,7 @@
 void
 Print(const Figure& aFigure);
 
-// The value below which aShare of the values lie; 0 for none.
+// The aShare quantile, rounded up to a sample; 0 if there are no values.
 double
 Quantile(std::vector<double> aValues, double aShare);
 
--- a/bench/HopBench.cpp
+++ b/bench/HopBench.cpp
@@ -1,5 +1,5 @@
-// The hop between boxes two ways: pooled kept-alive HTTP, as requests go, and
-// ZeroMQ, as control messages go: HopBench [quick]
+// Latency of a hop between boxes over pooled keep-alive HTTP, which carries
+// requests, and over ZeroMQ, which carries control messages: HopBench [quick]
 #include "Figure.h"
 #include "porttiller/http/HttpListener.h"
 #include "porttiller/http/HttpPool.h"
@@ -17,13 +17,13 @@
 constexpr const char* kServerAddress = "127.0.0.1:23902";
 constexpr const char* kClientAddress = "127.0.0.1:23903";
 constexpr int kThreads = 8;
-constexpr int kRates[] = { 150, 1000, 4000 };
+constexpr int kRates[] = { 150, 1000, 4000 }; // hops a second
 constexpr double kQuickSeconds = 1.0;
 constexpr double kFullSeconds = 5.0;
-constexpr Millis kTime{ 2000 };
+constexpr Millis kCallTimeout{ 2000 };
 const std::string kBody(300, 'x');
 
-// Latencies of aHop in milliseconds at a steady rate.
+// Latencies of aHop in milliseconds at a constant rate.
 std::vector<double>
 RunRate(const std::function<bool()>& aHop, int aRate, double aSeconds)
 {
@@ -58,7 +58,7 @@
 void
 Measure(const char* aPolicy, const std::function<bool()>& aHop, double aSeconds)
 {
-  RunRate(aHop, kRates[1], 0.5); // connections are made before it counts
+  RunRate(aHop, kRates[1], 0.5); // warm-up: opens the connections
   for (const int rate : kRates) {
     const auto latencies = RunRate(aHop, rate, aSeconds);
     const auto scenario = std::to_string(rate) + "-per-second";
@@ -82,7 +82,7 @@
   Measure(
     "http",
     [&] {
-      const auto deadline = Now() + kTime;
+      const auto deadline = Now() + kCallTimeout;
       const auto exchange = pool.Begin(request, deadline);
       return exchange && (*exchange)->ReadAnswer(deadline).has_value();
     },
@@ -106,7 +106,9 @@
   request.mutable_attempt()->set_request_key(kBody);
   Measure(
     "zeromq",
-    [&] { return (*client)->Call(kServerAddress, request, kTime).has_value(); },
+    [&] {
+      return (*client)->Call(kServerAddress, request, kCallTimeout).has_value();
+    },
     aSeconds);
 }
 
--- a/bench/LatencyBench.cpp
+++ b/bench/LatencyBench.cpp
@@ -1,5 +1,5 @@
-// Latency that the proxy adds: the same request straight to the server and
-// through two boxes (entry, then the server's home), in turns:
+// Latency that the proxy adds: sends the same request alternately to the server
+// directly and through two boxes (the entry and the server's home).
 // LatencyBench [quick]
 #include "Figure.h"
 #include "fleet/Fleet.h"
@@ -20,29 +20,29 @@
 constexpr double kQuickSeconds = 2.0;
 constexpr double kFullSeconds = 10.0;
 constexpr int kRates[] = { 150, 1000, 3000 }; // pairs a second
-constexpr Millis kTime{ 5000 };
-constexpr std::ptrdiff_t kMinWindow = 50;
-constexpr int kPipeTrips = 60;
-constexpr Millis kPipeGap{ 16 };
+constexpr Millis kCallTimeout{ 5000 };
+constexpr std::ptrdiff_t kMinWindow = 50; // samples for the p99 of a second
+constexpr int kPipeRoundTrips = 60;
+constexpr Millis kPipeInterval{ 16 };
 
 struct Samples
 {
   std::vector<double> mDirectMs;
   std::vector<double> mProxiedMs;
-  std::vector<double> mAddedMs; // pair by pair
-  std::vector<int> mSecond;     // of the run, for each pair
-  int mFailed = 0;
+  std::vector<double> mAddedMs; // proxied minus direct, by pair
+  std::vector<int> mSecond;     // second of the run, by pair
+  int mFailed = 0;              // pairs
 };
 
 double
 TimeMs(HttpPool& aPool, const HttpRequestData& aRequest, bool& aOk)
 {
   const auto start = Now();
-  aOk = fleet::SendTo(aPool, aRequest, kTime).mStatus == 200;
+  aOk = fleet::SendTo(aPool, aRequest, kCallTimeout).mStatus == 200;
   return std::chrono::duration<double, std::milli>(Now() - start).count();
 }
 
-// One thread's share of the pairs, on its own clock.
+// Sends the pairs of one thread, one every aGap.
 Samples
 SendPairs(HttpPool& aDirect, HttpPool& aProxied, int aPairs, Micros aGap)
 {
@@ -109,8 +109,8 @@
   return all;
 }
 
-// The p99 of each second by itself: a machine that stands still for a moment
-// spoils one of them, not all.
+// The p99 of each second separately, so that a short stall of the machine
+// affects one second only.
 std::vector<double>
 P99OfSeconds(const Samples& aSamples)
 {
@@ -129,8 +129,8 @@
   return p99;
 }
 
-// One thread's pipe, answered by a second thread: what the machine itself
-// takes to wake a thread, there and back, in milliseconds.
+// Round trips over a pair of pipes to a second thread, in milliseconds: the
+// time that the machine needs to wake two threads.
 std::vector<double>
 PipeRoundTrips(int aCount, Micros aGap)
 {
@@ -165,7 +165,7 @@
   return times;
 }
 
-// On as many threads as the requests come from, for a second.
+// The p99 of pipe round trips on kThreads threads at once, for about a second.
 double
 MachineWakeUpP99()
 {
@@ -174,7 +174,7 @@
   threads.reserve(kThreads);
   for (auto& part : parts) {
     threads.emplace_back(
-      [&part] { part = PipeRoundTrips(kPipeTrips, kPipeGap); });
+      [&part] { part = PipeRoundTrips(kPipeRoundTrips, kPipeInterval); });
   }
   std::vector<double> all;
   for (std::size_t i = 0; i < parts.size(); ++i) {
--- a/bench/LimitsBench.cpp
+++ b/bench/LimitsBench.cpp
@@ -1,5 +1,5 @@
-// Ways to keep workspaces' limits over a fleet, compared on the same drawn
-// load: worst window, requests refused below the limit, messages.
+// Compares schemes that enforce workspace rate limits over a fleet, on the same
+// random load: worst window, requests rejected below the limit, messages.
 #include "Figure.h"
 #include "sim/LimitFleet.h"
 
@@ -12,14 +12,14 @@
 namespace {
 
 const char*
-ToText(LimitWay aWay)
+ToText(LimitScheme aScheme)
 {
-  switch (aWay) {
-    case LimitWay::kCollected:
+  switch (aScheme) {
+    case LimitScheme::kCollected:
       return "collected";
-    case LimitWay::kParts:
+    case LimitScheme::kFixedShares:
       return "parts";
-    case LimitWay::kAsked:
+    case LimitScheme::kCentral:
       break;
   }
   return "asked";
@@ -28,10 +28,10 @@
 struct Sums
 {
   double mWorstWindow = 0.0;
-  double mWorstUsual = 0.0; // of workspaces that keep to their usual
+  double mWorstUsual = 0.0; // of workspaces that stay at their usual rate
   double mOffered = 0.0;
-  double mRefusedBelow = 0.0;
-  double mRefusedUsual = 0.0;
+  double mRejectedBelowLimit = 0.0;
+  double mRejectedUsual = 0.0;
   double mMessages = 0.0;
   double mBusiest = 0.0;
   double mItems = 0.0;
@@ -45,10 +45,10 @@
   for (std::size_t i = 0; i < aWorkspaces.size(); ++i) {
     const auto& outcome = aOutcome.mWorkspaces[i];
     aSums.mOffered += outcome.mOffered;
-    aSums.mRefusedBelow += outcome.mRefusedBelow;
+    aSums.mRejectedBelowLimit += outcome.mRejectedBelowLimit;
     aSums.mWorstWindow = std::max(aSums.mWorstWindow, outcome.mWorstWindow);
     if (aWorkspaces[i].mHotFactor == 1.0) {
-      aSums.mRefusedUsual += outcome.mRefusedBelow;
+      aSums.mRejectedUsual += outcome.mRejectedBelowLimit;
       aSums.mWorstUsual = std::max(aSums.mWorstUsual, outcome.mWorstWindow);
     }
   }
@@ -57,15 +57,18 @@
   aSums.mBusiest = std::max(aSums.mBusiest, aOutcome.mMessagesOfBusiest);
 }
 
-struct Scene
+struct LimitScenario
 {
   const char* mName;
-  int mCutOneIn;  // 0: none is cut
-  int mKillOneIn; // 0: none is killed
+  int mCutEvery;  // cut every nth box; 0: none
+  int mKillEvery; // kill every nth box; 0: none
 };
 
 void
-Measure(int aBoxes, LimitWay aWay, const Scene& aScene, int aSeeds)
+Measure(int aBoxes,
+        LimitScheme aScheme,
+        const LimitScenario& aScenario,
+        int aSeeds)
 {
   Sums sums;
   for (int seed = 1; seed <= aSeeds; ++seed) {
@@ -79,13 +82,13 @@
                                  : aBoxes > 300 ? 5
                                                 : 3,
                        .mWorkspaces = workspaces,
-                       .mWay = aWay,
+                       .mScheme = aScheme,
                        .mSeed = static_cast<std::uint64_t>(seed) });
     for (int box = 0; box < aBoxes; ++box) {
-      if (aScene.mCutOneIn > 0 && box % aScene.mCutOneIn == 0) {
+      if (aScenario.mCutEvery > 0 && box % aScenario.mCutEvery == 0) {
         fleet.Cut(box, Micros(9'000'000), Micros(15'000'000));
       }
-      if (aScene.mKillOneIn > 0 && box % aScene.mKillOneIn == 0) {
+      if (aScenario.mKillEvery > 0 && box % aScenario.mKillEvery == 0) {
         fleet.Kill(box, Micros(12'000'000), Micros(1'000'000));
       }
     }
@@ -93,21 +96,21 @@
   }
   const auto print =
     [&](const char* aMeasure, double aValue, const char* aUnit) {
-      Print(
-        { .mMeasure = aMeasure,
-          .mScenario = std::string(aScene.mName) + "/" + std::to_string(aBoxes),
-          .mPolicy = ToText(aWay),
-          .mValue = aValue,
-          .mUnit = aUnit });
+      Print({ .mMeasure = aMeasure,
+              .mScenario =
+                std::string(aScenario.mName) + "/" + std::to_string(aBoxes),
+              .mPolicy = ToText(aScheme),
+              .mValue = aValue,
+              .mUnit = aUnit });
     };
   constexpr double kPermille = 1000.0;
   print("worst_window", sums.mWorstWindow, "of the bound");
   print("worst_window_usual", sums.mWorstUsual, "of the bound");
   print("refused_below",
-        kPermille * sums.mRefusedBelow / sums.mOffered,
+        kPermille * sums.mRejectedBelowLimit / sums.mOffered,
         "permille");
   print("refused_usual",
-        kPermille * sums.mRefusedUsual / sums.mOffered,
+        kPermille * sums.mRejectedUsual / sums.mOffered,
         "permille");
   print("messages", sums.mMessages / aSeeds, "per box and s");
   print("messages_busiest", sums.mBusiest, "per s");
@@ -131,15 +134,16 @@
     std::cout << options.help();
     return 0;
   }
-  const Scene scenes[] = { { "calm", 0, 0 },
-                           { "third-cut", 3, 0 },
-                           { "tenth-killed", 0, 10 },
-                           { "all-killed", 0, 1 } };
+  const LimitScenario scenarios[] = { { "calm", 0, 0 },
+                                      { "third-cut", 3, 0 },
+                                      { "tenth-killed", 0, 10 },
+                                      { "all-killed", 0, 1 } };
   for (const int boxes : arguments["boxes"].as<std::vector<int>>()) {
-    for (const auto& scene : scenes) {
-      for (const auto way :
-           { LimitWay::kCollected, LimitWay::kParts, LimitWay::kAsked }) {
-        Measure(boxes, way, scene, arguments["seeds"].as<int>());
+    for (const auto& scenario : scenarios) {
+      for (const auto scheme : { LimitScheme::kCollected,
+                                 LimitScheme::kFixedShares,
+                                 LimitScheme::kCentral }) {
+        Measure(boxes, scheme, scenario, arguments["seeds"].as<int>());
       }
     }
   }
--- a/bench/RequestPathBench.cpp
+++ b/bench/RequestPathBench.cpp
@@ -1,6 +1,6 @@
-// What one request costs the boxes on its way: processor time, wake-ups and
-// control bytes of a small fleet of real processes under a steady load, and at
-// rest: RequestPathBench [--boxes N] [--rate N] [--seconds N]
+// Cost of a request on the boxes of its path: processor time and wake-ups of a
+// small fleet of real processes, idle and under a constant load:
+// RequestPathBench [--boxes N] [--rate N] [--seconds N] [--work MS]
 #include "Figure.h"
 #include "fleet/MeshFleet.h"
 
@@ -23,15 +23,15 @@
 constexpr int kThreads = 4;
 constexpr Millis kSettle{ 3000 };
 
-// Of all boxes together, since they started.
+// Totals of all boxes since their start.
 struct Usage
 {
   double mCpuMs = 0.0;
-  double mSwitches = 0.0; // voluntary: each is a wake-up
+  double mSwitches = 0.0; // voluntary context switches, one per wake-up
   double mThreads = 0.0;
 };
 
-// Sums up the switches of every thread.
+// Voluntary context switches of all threads of a process.
 double
 SwitchesOf(int aPid)
 {
@@ -63,7 +63,7 @@
     for (std::string value; fields >> value;) {
       values.push_back(value);
     }
-    constexpr std::size_t kUserTime = 11; // counted after the name
+    constexpr std::size_t kUserTime = 11; // index after the process name
     constexpr std::size_t kSystemTime = 12;
     constexpr std::size_t kThreadCount = 17;
     const double ticks =
@@ -76,10 +76,10 @@
 }
 
 void
-Show(const std::string& aScenario,
-     const std::string& aMeasure,
-     double aValue,
-     const std::string& aUnit)
+PrintValue(const std::string& aScenario,
+           const std::string& aMeasure,
+           double aValue,
+           const std::string& aUnit)
 {
   Print({ .mMeasure = aMeasure,
           .mScenario = aScenario,
@@ -88,7 +88,8 @@
           .mUnit = aUnit });
 }
 
-// Each thread keeps a connection to every box and takes them in turns.
+// Each thread keeps a connection to every box and sends to the boxes
+// round-robin. Returns the number of requests answered with 200.
 int
 SendLoad(MeshFleet& aFleet, int aBoxes, double aRate, double aSeconds)
 {
@@ -167,26 +168,26 @@
   const int served = SendLoad(fleet, boxes, rate, seconds);
   const auto after = UsageOf(fleet, boxes);
   const double boxSeconds = boxes * seconds;
-  Show("rest",
-       "processor",
-       (rested.mCpuMs - before.mCpuMs) / boxSeconds,
-       "ms per box and s");
-  Show("rest",
-       "wake-ups",
-       (rested.mSwitches - before.mSwitches) / boxSeconds,
-       "per box and s");
-  Show("rest", "threads", rested.mThreads / boxes, "per box");
+  PrintValue("rest",
+             "processor",
+             (rested.mCpuMs - before.mCpuMs) / boxSeconds,
+             "ms per box and s");
+  PrintValue("rest",
+             "wake-ups",
+             (rested.mSwitches - before.mSwitches) / boxSeconds,
+             "per box and s");
+  PrintValue("rest", "threads", rested.mThreads / boxes, "per box");
   const auto extra = [&](double aAfter, double aRested, double aBefore) {
     return (aAfter - aRested - (aRested - aBefore)) / served;
   };
-  Show("load", "served", served, "requests");
-  Show("load",
-       "processor",
-       extra(after.mCpuMs, rested.mCpuMs, before.mCpuMs),
-       "ms per request");
-  Show("load",
-       "wake-ups",
-       extra(after.mSwitches, rested.mSwitches, before.mSwitches),
-       "per request");
+  PrintValue("load", "served", served, "requests");
+  PrintValue("load",
+             "processor",
+             extra(after.mCpuMs, rested.mCpuMs, before.mCpuMs),
+             "ms per request");
+  PrintValue("load",
+             "wake-ups",
+             extra(after.mSwitches, rested.mSwitches, before.mSwitches),
+             "per request");
   return 0;
 }
--- a/bench/SilenceBench.cpp
+++ b/bench/SilenceBench.cpp
@@ -1,5 +1,5 @@
-// How late a change is in force on the last box after open connections have
-// gone silent at one moment: SilenceBench [quick]
+// Time until a change is in force on the last box after all open connections
+// have silently stopped to carry data at the same moment: SilenceBench [quick]
 #include "Figure.h"
 #include "fleet/Fleet.h"
 
@@ -17,21 +17,21 @@
 constexpr int kPortBase = 24600;
 constexpr int kQuickRounds = 3;
 constexpr int kFullRounds = 16;
-constexpr int kDelays = 8; // a change comes this many ways after the silence
+constexpr int kDelays = 8; // delays between the silence and the change
 constexpr Millis kDelayStep{ 200 };
-constexpr Millis kRest{ 2500 };
-constexpr Millis kPatience{ 20'000 };
+constexpr Millis kRoundPause{ 2500 };
+constexpr Millis kMaxWait{ 20'000 };
 constexpr Millis kPoll{ 5 };
-// The users' bounds: a change is in force this long after its write, and boxes
-// count this long after their connections were hit.
-constexpr Millis kApply{ 2000 };
-constexpr Millis kContact{ 3000 };
+// The required bounds: a change is in force everywhere kApplyBound after its
+// write, or kContactBound after the connections went silent if that is later.
+constexpr Millis kApplyBound{ 2000 };
+constexpr Millis kContactBound{ 3000 };
 constexpr const char* kSettings = R"(, "timing": { "apply_ms": 2000 })";
 
 struct Round
 {
-  Millis mLast{ 0 }; // from the write until the last box has it
-  Millis mLate{ 0 }; // beyond both bounds
+  Millis mLast{ 0 }; // from the write until it is in force on the last box
+  Millis mLate{ 0 }; // time beyond the later of both bounds
 };
 
 Millis
@@ -41,10 +41,10 @@
 }
 
 Round
-PlayRound(fleet::Fleet& aFleet,
-          const std::function<void()>& aSilence,
-          Millis aDelay,
-          int aNumber)
+RunRound(fleet::Fleet& aFleet,
+         const std::function<void()>& aSilence,
+         Millis aDelay,
+         int aNumber)
 {
   const auto silent = Now();
   aSilence();
@@ -54,11 +54,11 @@
     aFleet.Platform().Put({ "Service", "ledger" },
                           R"({"floor_slots":)" + std::to_string(aNumber) + "}");
   for (int box = 0; box < kBoxes; ++box) {
-    while (aFleet.Revision(box) < revision && Since(written) < kPatience) {
+    while (aFleet.Revision(box) < revision && Since(written) < kMaxWait) {
       std::this_thread::sleep_for(kPoll);
     }
   }
-  const auto bound = std::max(written + kApply, silent + kContact);
+  const auto bound = std::max(written + kApplyBound, silent + kContactBound);
   return { .mLast = Since(written),
            .mLate = std::max(Millis(0), Since(bound)) };
 }
@@ -82,9 +82,10 @@
   std::vector<double> last;
   double late = 0.0;
   for (int i = 0; i < aRounds; ++i) {
-    // Rests of other lengths, so that watches stand at other points.
-    std::this_thread::sleep_for(kRest + kDelayStep * (i % 3));
-    const auto round = PlayRound(fleet, silence, kDelayStep * (i % kDelays), i);
+    // Pauses of different lengths, so that the silence hits long polls at
+    // different points.
+    std::this_thread::sleep_for(kRoundPause + kDelayStep * (i % 3));
+    const auto round = RunRound(fleet, silence, kDelayStep * (i % kDelays), i);
     last.push_back(static_cast<double>(round.mLast.count()));
     late += round.mLate > Millis(0) ? 1.0 : 0.0;
   }
--- a/bench/sim/FaultModel.cpp
+++ b/bench/sim/FaultModel.cpp
@@ -5,15 +5,15 @@
 namespace {
 
 constexpr std::int64_t kNoiseEveryMs = 4000;
-constexpr double kBackgroundFailures = 0.001;
-constexpr double kSickFailures = 0.5;
+constexpr double kBackgroundFailureRate = 0.001;
+constexpr double kFaultyFailureRate = 0.5;
 constexpr double kSlowFactor = 8.0;
 constexpr double kCommonSlowFactor = 4.0;
 constexpr double kColdFactor = 5.0;
 constexpr Millis kColdTime{ 8000 };
 constexpr std::int64_t kFlapMs = 3000;
 constexpr std::int64_t kNoiseMs = 200;
-constexpr double kNoiseFailures = 0.3;
+constexpr double kNoiseFailureRate = 0.3;
 
 } // namespace
 
@@ -24,7 +24,7 @@
 }
 
 bool
-FaultModel::IsOn(TimePoint aNow) const
+FaultModel::IsActive(TimePoint aNow) const
 {
   return aNow >= kFaultBegins && aNow < kFaultEnds;
 }
@@ -32,8 +32,8 @@
 bool
 FaultModel::PathCut(int aEntry, int aServer, TimePoint aNow) const
 {
-  return mKind == FaultKind::kPathOneWay && IsOn(aNow) &&
-         aServer == kSickServer && aEntry == mDeployment.Entries() - 1;
+  return mKind == FaultKind::kPathOneWay && IsActive(aNow) &&
+         aServer == kFaultyServer && aEntry == mDeployment.Entries() - 1;
 }
 
 void
@@ -41,7 +41,7 @@
 {
   const auto sinceMs =
     std::chrono::duration_cast<Millis>(aNow - kFaultBegins).count();
-  if (IsOn(aNow) && sinceMs % kNoiseEveryMs == 0) {
+  if (IsActive(aNow) && sinceMs % kNoiseEveryMs == 0) {
     mNoisyServer = static_cast<int>(
       aRandom() % static_cast<std::uint64_t>(mDeployment.mServers));
   }
@@ -50,41 +50,41 @@
 double
 FaultModel::FailureRate(int aServer, int aCallKind, TimePoint aNow) const
 {
-  const bool sick = aServer == kSickServer && IsOn(aNow);
+  const bool faulty = aServer == kFaultyServer && IsActive(aNow);
   const auto sinceMs =
     std::chrono::duration_cast<Millis>(aNow - kFaultBegins).count();
   switch (mKind) {
     case FaultKind::kGrayErrors:
-    case FaultKind::kPlatformAway:
-      return sick ? kSickFailures : kBackgroundFailures;
+    case FaultKind::kPlatformUnavailable:
+      return faulty ? kFaultyFailureRate : kBackgroundFailureRate;
     case FaultKind::kPartialCalls:
-      return sick && aCallKind == 0 ? 1.0 : kBackgroundFailures;
+      return faulty && aCallKind == 0 ? 1.0 : kBackgroundFailureRate;
     case FaultKind::kFlapping:
-      return sick && (sinceMs / kFlapMs) % 2 == 0 ? kSickFailures
-                                                  : kBackgroundFailures;
+      return faulty && (sinceMs / kFlapMs) % 2 == 0 ? kFaultyFailureRate
+                                                    : kBackgroundFailureRate;
     case FaultKind::kCommonCause:
-      return IsOn(aNow) ? kSickFailures : kBackgroundFailures;
+      return IsActive(aNow) ? kFaultyFailureRate : kBackgroundFailureRate;
     case FaultKind::kNoiseBursts:
-      return IsOn(aNow) && aServer == mNoisyServer &&
+      return IsActive(aNow) && aServer == mNoisyServer &&
                  sinceMs % kNoiseEveryMs < kNoiseMs
-               ? kNoiseFailures
-               : kBackgroundFailures;
+               ? kNoiseFailureRate
+               : kBackgroundFailureRate;
     default:
-      return kBackgroundFailures;
+      return kBackgroundFailureRate;
   }
 }
 
 double
 FaultModel::Slowness(int aServer, TimePoint aNow) const
 {
-  const bool sick = aServer == kSickServer && IsOn(aNow);
+  const bool faulty = aServer == kFaultyServer && IsActive(aNow);
   switch (mKind) {
     case FaultKind::kGraySlow:
-      return sick ? kSlowFactor : 1.0;
+      return faulty ? kSlowFactor : 1.0;
     case FaultKind::kCommonCause:
-      return IsOn(aNow) ? kCommonSlowFactor : 1.0;
+      return IsActive(aNow) ? kCommonSlowFactor : 1.0;
     case FaultKind::kColdStart:
-      return sick && aNow < kFaultBegins + kColdTime ? kColdFactor : 1.0;
+      return faulty && aNow < kFaultBegins + kColdTime ? kColdFactor : 1.0;
     default:
       return 1.0;
   }
--- a/bench/sim/FaultModel.h
+++ b/bench/sim/FaultModel.h
@@ -1,4 +1,4 @@
-// How servers and paths misbehave in a scenario, as a function of time.
+// The faults of servers and network paths in a scenario, as functions of time.
 #pragma once
 
 #include "sim/Scenario.h"
@@ -7,18 +7,18 @@
 
 namespace porttiller::bench {
 
-// Owned by a World.
+// Owned by a Simulation.
 class FaultModel
 {
 public:
   FaultModel(FaultKind aKind, const Deployment& aDeployment);
 
-  bool IsOn(TimePoint aNow) const;
-  // Share of a server's calls of one kind that fail.
+  bool IsActive(TimePoint aNow) const;
+  // Share of a server's requests of one kind that fail.
   double FailureRate(int aServer, int aCallKind, TimePoint aNow) const;
-  // Factor on a server's service times.
+  // Factor by which a server's service times are longer.
   double Slowness(int aServer, TimePoint aNow) const;
-  // Whether requests of this entry to this server are lost.
+  // Whether requests from this entry to this server are lost.
   bool PathCut(int aEntry, int aServer, TimePoint aNow) const;
   void OnTick(TimePoint aNow, std::mt19937_64& aRandom);
 
--- a/bench/sim/LimitFleet.cpp
+++ b/bench/sim/LimitFleet.cpp
@@ -9,9 +9,9 @@
 
 constexpr Micros kTick{ 125'000 };
 constexpr Micros kReplyTimeout{ 400'000 };
-constexpr Micros kReportersLast{ 3'000'000 };
-// Until other boxes no longer count on one that is gone.
-constexpr Micros kNoticed{ 2'000'000 };
+constexpr Micros kReporterExpiry{ 3'000'000 };
+// Allowance until the other boxes detect that a box is dead.
+constexpr Micros kFailureDetectionTime{ 2'000'000 };
 constexpr std::size_t kCollectorsPerZone = 2;
 const LimitBounds kBounds;
 
@@ -59,9 +59,9 @@
 }
 
 void
-LimitFleet::At(TimePoint aTime, std::function<void()> aDo)
+LimitFleet::At(TimePoint aTime, std::function<void()> aTask)
 {
-  mEvents.push({ aTime, mOrder++, std::move(aDo) });
+  mEvents.push({ aTime, mOrder++, std::move(aTask) });
 }
 
 void
@@ -74,14 +74,14 @@
   box.mCollector = std::make_unique<UsageCollector>(
     UsageCollectorOptions{ .mBounds = kBounds });
   box.mGrants.clear();
-  box.mTold.clear();
+  box.mSentGrants.clear();
   box.mReporters.clear();
   box.mDown = false;
-  const int life = ++box.mLife;
-  if (mOptions.mWay == LimitWay::kCollected) {
+  const int incarnation = ++box.mIncarnation;
+  if (mOptions.mScheme == LimitScheme::kCollected) {
     const auto first = Micros(
       static_cast<Micros::rep>(Uniform() * static_cast<double>(kTick.count())));
-    At(mNow + first, [this, aBox, life] { Tick(aBox, life); });
+    At(mNow + first, [this, aBox, incarnation] { Tick(aBox, incarnation); });
   }
 }
 
@@ -94,11 +94,11 @@
 }
 
 void
-LimitFleet::Deafen(int aBox, Micros aFrom, Micros aUntil)
+LimitFleet::CutInbound(int aBox, Micros aFrom, Micros aUntil)
 {
   auto& box = mBoxes[static_cast<std::size_t>(aBox)];
-  At(TimePoint(aFrom), [&box] { box.mDeaf = true; });
-  At(TimePoint(aUntil), [&box] { box.mDeaf = false; });
+  At(TimePoint(aFrom), [&box] { box.mInboundCut = true; });
+  At(TimePoint(aUntil), [&box] { box.mInboundCut = false; });
 }
 
 void
@@ -107,7 +107,7 @@
   At(TimePoint(aAt), [this, aBox] {
     auto& box = mBoxes[static_cast<std::size_t>(aBox)];
     box.mDown = true;
-    ++box.mLife;
+    ++box.mIncarnation;
   });
   At(TimePoint(aAt + aDown), [this, aBox] { Start(aBox); });
 }
@@ -125,28 +125,28 @@
 LimitFleet::Send(int aFrom,
                  int aTo,
                  std::size_t aItems,
-                 std::function<void()> aDo)
+                 std::function<void()> aTask)
 {
   ++mMessages;
   mItems += aItems;
   auto& from = mBoxes[static_cast<std::size_t>(aFrom)];
   auto& to = mBoxes[static_cast<std::size_t>(aTo)];
   ++from.mMessages;
-  if (from.mCut || to.mCut || to.mDeaf || to.mDown) {
+  if (from.mCut || to.mCut || to.mInboundCut || to.mDown) {
     return;
   }
   const auto delay =
     static_cast<double>(mOptions.mDelay.count()) * (1.0 + Uniform());
   At(mNow + Micros(static_cast<Micros::rep>(delay)),
-     [&to, life = to.mLife, aDo = std::move(aDo)] {
-       if (!to.mDown && to.mLife == life) {
+     [&to, incarnation = to.mIncarnation, aTask = std::move(aTask)] {
+       if (!to.mDown && to.mIncarnation == incarnation) {
          ++to.mMessages;
-         aDo();
+         aTask();
        }
      });
 }
 
-// In the order of their numbers, less those that are gone for a while.
+// The first live boxes of a zone that aAsker can reach, by number.
 std::vector<int>
 LimitFleet::CollectorsOf(int aZone, int aAsker) const
 {
@@ -182,10 +182,10 @@
 }
 
 void
-LimitFleet::Tick(int aBox, int aLife)
+LimitFleet::Tick(int aBox, int aIncarnation)
 {
   auto& box = mBoxes[static_cast<std::size_t>(aBox)];
-  if (box.mLife != aLife || box.mDown) {
+  if (box.mIncarnation != aIncarnation || box.mDown) {
     return;
   }
   box.mReportsNow = !box.mReportsNow;
@@ -193,7 +193,7 @@
     Report(aBox);
   }
   Collect(aBox);
-  At(mNow + kTick, [this, aBox, aLife] { Tick(aBox, aLife); });
+  At(mNow + kTick, [this, aBox, aIncarnation] { Tick(aBox, aIncarnation); });
 }
 
 void
@@ -242,8 +242,12 @@
        });
   if (report->mQuestion != 0) {
     At(mNow + kReplyTimeout,
-       [this, &box, life = box.mLife, question = report->mQuestion, replied] {
-         if (!*replied && box.mLife == life) {
+       [this,
+        &box,
+        incarnation = box.mIncarnation,
+        question = report->mQuestion,
+        replied] {
+         if (!*replied && box.mIncarnation == incarnation) {
            box.mReporter->OnReply(question, false, mNow);
          }
        });
@@ -271,12 +275,12 @@
       }
     }
   }
-  if (box.mGrants == box.mTold) {
+  if (box.mGrants == box.mSentGrants) {
     return;
   }
-  box.mTold = box.mGrants;
+  box.mSentGrants = box.mGrants;
   std::erase_if(box.mReporters, [this](const auto& aReporter) {
-    return aReporter.second + kReportersLast < mNow;
+    return aReporter.second + kReporterExpiry < mNow;
   });
   for (const auto& [entry, heard] : box.mReporters) {
     auto& told = mBoxes[static_cast<std::size_t>(entry)];
@@ -298,7 +302,7 @@
   const auto& workspace = mWorkspaces[aWorkspace];
   const bool hot = mNow >= TimePoint(mOptions.mHotFrom) &&
                    mNow < TimePoint(mOptions.mHotUntil);
-  const double rate = workspace.mUsual * (hot ? workspace.mHotFactor : 1.0);
+  const double rate = workspace.mUsualRate * (hot ? workspace.mHotFactor : 1.0);
   const double gap = -std::log(1.0 - Uniform()) / std::max(rate, 1e-3);
   const int box =
     static_cast<int>(Uniform() * static_cast<double>(mOptions.mBoxes));
@@ -315,10 +319,10 @@
   auto& box = mBoxes[static_cast<std::size_t>(aBox)];
   ++mOffers;
   const auto& limit = mWorkspaces[aWorkspace].mLimit;
-  if (mOptions.mWay == LimitWay::kAsked && !box.mCut && !mBoxes[0].mCut &&
-      !mBoxes[0].mDown && aBox != 0) {
-    // The oracle's own bucket answers: exact, for two messages a request.
-    ++mAsked;
+  if (mOptions.mScheme == LimitScheme::kCentral && !box.mCut &&
+      !mBoxes[0].mCut && !mBoxes[0].mDown && aBox != 0) {
+    // The oracle's bucket decides: exact, at two messages a request.
+    ++mCentralRequests;
     mMessages += 2;
     mItems += 2;
     box.mMessages += 2;
@@ -332,8 +336,8 @@
   const auto verdict = box.mGate->Offer(
     NameOf(aWorkspace), limit, Priority::kNormal, mNow, mRandom());
   Judge(aWorkspace, verdict.mAdmitted);
-  if (!verdict.mAdmitted && !box.mCut && !box.mDeaf) {
-    ++mOutcome.mWorkspaces[aWorkspace].mRefusedInTouch;
+  if (!verdict.mAdmitted && !box.mCut && !box.mInboundCut) {
+    ++mOutcome.mWorkspaces[aWorkspace].mRejectedConnected;
   }
 }
 
@@ -350,7 +354,7 @@
   const bool hadRoom = tokens >= 1.0;
   tokens = std::max(0.0, tokens - 1.0);
   if (!aAdmitted) {
-    outcome.mRefusedBelow += hadRoom ? 1 : 0;
+    outcome.mRejectedBelowLimit += hadRoom ? 1 : 0;
     return;
   }
   ++outcome.mAdmitted;
@@ -360,10 +364,11 @@
   while (window.front() <= begin) {
     window.pop_front();
   }
-  // A lower limit binds a window after it is in force everywhere.
+  // A lower limit applies one window after it is in force on all boxes.
   auto& limits = mLimits[aWorkspace];
   while (limits.size() > 1 &&
-         limits[1].first + Micros(kBounds.mWindow) + kNoticed < mNow) {
+         limits[1].first + Micros(kBounds.mWindow) + kFailureDetectionTime <
+           mNow) {
     limits.pop_front();
   }
   double allowed = 0.0;
@@ -385,7 +390,7 @@
     const auto event = mEvents.top();
     mEvents.pop();
     mNow = event.mAt;
-    event.mDo();
+    event.mTask();
   }
   const double boxSeconds =
     SecondsOf(mOptions.mLength) * static_cast<double>(mBoxes.size());
@@ -396,8 +401,8 @@
                                            static_cast<double>(box.mMessages) /
                                              SecondsOf(mOptions.mLength));
   }
-  mOutcome.mAskedShare =
-    static_cast<double>(mAsked) /
+  mOutcome.mCentralShare =
+    static_cast<double>(mCentralRequests) /
     static_cast<double>(std::max<std::uint64_t>(1, mOffers));
   return mOutcome;
 }
--- a/bench/sim/LimitFleet.h
+++ b/bench/sim/LimitFleet.h
@@ -1,7 +1,7 @@
-// A fleet of entries that keep workspaces' limits together, as discrete events:
-// the same LimitGate, UseReporter and UsageCollector that the daemons run, with
-// messages that take time and get lost, cuts, kills, and an oracle that sees
-// every request.
+// Discrete-event simulation of a fleet of entries that enforce workspace rate
+// limits together. Runs the LimitGate, UseReporter and UsageCollector of the
+// daemons, with message delays and losses, network cuts and killed boxes. An
+// oracle that sees every request checks the result.
 #pragma once
 
 #include "sim/SimWorkspace.h"
@@ -21,12 +21,13 @@
 
 namespace porttiller::bench {
 
-// How entries settle what may pass.
-enum class LimitWay
+// How entries decide which requests to admit.
+enum class LimitScheme
 {
-  kCollected, // counts to collectors, who grant shares: what daemons do
-  kParts,     // each entry a fixed part
-  kAsked      // each request is put to the first collector of zone 0
+  kCollected,   // as the daemons: collectors sum up usage and grant shares
+  kFixedShares, // each entry admits a fixed share of the limit
+  kCentral      // one central box, the first collector of zone 0, decides each
+                // request
 };
 
 struct LimitFleetOptions
@@ -35,24 +36,25 @@
   int mZones = 3;
   std::vector<SimWorkspace> mWorkspaces;
   Micros mLength{ 30'000'000 };
-  // While workspaces with a mHotFactor send more.
+  // The time in which workspaces send mHotFactor times their usual rate.
   Micros mHotFrom{ 10'000'000 };
   Micros mHotUntil{ 16'000'000 };
-  // One way, from one box to another; drawn up to twice as long.
+  // Minimum one-way delay between boxes; each message takes one to two times as
+  // long.
   Micros mDelay{ 5'000 };
-  LimitWay mWay = LimitWay::kCollected;
+  LimitScheme mScheme = LimitScheme::kCollected;
   std::uint64_t mSeed = 1;
 };
 
-// What a workspace got.
+// The outcome for one workspace.
 struct WorkspaceOutcome
 {
   int mOffered = 0;
   int mAdmitted = 0;
-  // Refused although a bucket that sees all requests had room.
-  int mRefusedBelow = 0;
-  int mRefusedInTouch = 0; // at boxes that get what others send
-  // The most in any window, as a part of what is allowed there.
+  // Rejected although the oracle's token bucket had a token.
+  int mRejectedBelowLimit = 0;
+  int mRejectedConnected = 0; // rejected at boxes with a working network
+  // The highest use of any window, as a share of what the limit allows there.
   double mWorstWindow = 0.0;
 };
 
@@ -60,9 +62,10 @@
 {
   std::vector<WorkspaceOutcome> mWorkspaces;
   double mMessagesPerBoxSecond = 0.0;
-  double mItemsPerBoxSecond = 0.0; // counts and grants in them
-  double mMessagesOfBusiest = 0.0; // a second, sent and received
-  double mAskedShare = 0.0;        // requests that waited for an answer
+  double mItemsPerBoxSecond = 0.0; // usage counts and grants in the messages
+  double mMessagesOfBusiest =
+    0.0; // messages a second of the busiest box, sent and received
+  double mCentralShare = 0.0; // share of requests that the central box decided
 };
 
 class LimitFleet
@@ -70,11 +73,11 @@
 public:
   explicit LimitFleet(LimitFleetOptions aOptions);
 
-  // Faults, to be set before Run. A box that is cut reaches no other; its
-  // callers go on. A killed one starts again with nothing after aDown.
+  // Schedules faults; call before Run. A cut box reaches no other box, while
+  // its callers continue. A killed box restarts without its state after aDown.
   void Cut(int aBox, Micros aFrom, Micros aUntil);
-  // What others send to the box is lost; what it sends arrives.
-  void Deafen(int aBox, Micros aFrom, Micros aUntil);
+  // Messages to the box are lost; messages from it arrive.
+  void CutInbound(int aBox, Micros aFrom, Micros aUntil);
   void Kill(int aBox, Micros aAt, Micros aDown);
   void ChangeLimit(std::size_t aWorkspace, Micros aAt, RequestLimit aLimit);
 
@@ -88,13 +91,13 @@
     std::unique_ptr<UseReporter> mReporter;
     std::unique_ptr<UsageCollector> mCollector;
     WorkspaceGrants mGrants;
-    WorkspaceGrants mTold;
+    WorkspaceGrants mSentGrants; // last sent to the reporters
     std::map<int, TimePoint> mReporters;
     bool mCut = false;
-    bool mDeaf = false;
+    bool mInboundCut = false;
     bool mDown = false;
-    bool mReportsNow = false;
-    int mLife = 0;
+    bool mReportsNow = false; // reports on every second tick
+    int mIncarnation = 0;
     std::uint64_t mMessages = 0;
   };
 
@@ -102,7 +105,7 @@
   {
     TimePoint mAt;
     std::uint64_t mOrder = 0;
-    std::function<void()> mDo;
+    std::function<void()> mTask;
 
     friend bool operator>(const Event& aLeft, const Event& aRight)
     {
@@ -111,10 +114,13 @@
     }
   };
 
-  void At(TimePoint aTime, std::function<void()> aDo);
-  void Send(int aFrom, int aTo, std::size_t aItems, std::function<void()> aDo);
+  void At(TimePoint aTime, std::function<void()> aTask);
+  void Send(int aFrom,
+            int aTo,
+            std::size_t aItems,
+            std::function<void()> aTask);
   void Start(int aBox);
-  void Tick(int aBox, int aLife);
+  void Tick(int aBox, int aIncarnation);
   void Report(int aBox);
   void Collect(int aBox);
   void Arrive(std::size_t aWorkspace);
@@ -122,7 +128,7 @@
   void Judge(std::size_t aWorkspace, bool aAdmitted);
   std::vector<int> CollectorsOf(int aZone, int aAsker) const;
   std::optional<RequestLimit> LimitOf(const WorkspaceName& aName) const;
-  // Boxes that aBox can reach, of all.
+  // Share of all boxes that aBox can reach.
   double LiveShare(int aBox) const;
   double Uniform();
 
@@ -133,14 +139,16 @@
   TimePoint mNow;
   std::vector<Box> mBoxes;
   std::vector<SimWorkspace> mWorkspaces;
-  std::vector<std::deque<TimePoint>> mWindows; // admitted, by workspace
-  // The highest limit in force within the last window; as the users count.
+  std::vector<std::deque<TimePoint>> mWindows; // admission times, by workspace
+  // The limits in force during the last window, with their start times; the
+  // highest one counts.
   std::vector<std::deque<std::pair<TimePoint, RequestLimit>>> mLimits;
-  std::vector<std::pair<double, TimePoint>> mBuckets; // of the oracle
+  // Token buckets of the oracle: tokens and the time of the last refill.
+  std::vector<std::pair<double, TimePoint>> mBuckets;
   LimitOutcome mOutcome;
   std::uint64_t mMessages = 0;
   std::uint64_t mItems = 0;
-  std::uint64_t mAsked = 0;
+  std::uint64_t mCentralRequests = 0;
   std::uint64_t mOffers = 0;
 };
 
--- a/bench/sim/Policies.cpp
+++ b/bench/sim/Policies.cpp
@@ -12,9 +12,9 @@
 constexpr Millis kMinAvoid{ 200 };
 constexpr Millis kMaxAvoid{ 5000 };
 constexpr int kMaxAvoidDoublings = 5;
-constexpr Millis kBaselineAside{ 30'000 };
-constexpr int kConsecutive = 5;
-constexpr std::size_t kAsked = 3;
+constexpr Millis kBaselineEjectionTime{ 30'000 };
+constexpr int kConsecutiveFailureLimit = 5;
+constexpr std::size_t kPeersAsked = 3;
 
 EjectionOptions
 OptionsFor(const Deployment& aDeployment)
@@ -23,7 +23,7 @@
                                                            : CarefulEjection();
 }
 
-// Where an entry's view of a server stands in a list of all pairs.
+// Index of a pair of entry and server in a list of all pairs.
 std::size_t
 PairIndex(int aEntry, int aServer, int aServers)
 {
@@ -40,26 +40,27 @@
            .mSlots = aSlots };
 }
 
-// Baselines never set more than half of the servers aside.
+// Whether a baseline may remove one more server: at most half of the servers
+// may be out of use.
 bool
-MaySetAside(const std::vector<TimePoint>& aUntil,
-            std::size_t aFirst,
-            std::size_t aCount,
-            TimePoint aNow)
+MayRemoveFromUse(const std::vector<TimePoint>& aUntil,
+                 std::size_t aFirst,
+                 std::size_t aCount,
+                 TimePoint aNow)
 {
-  std::size_t aside = 0;
+  std::size_t removed = 0;
   for (std::size_t i = aFirst; i < aFirst + aCount; ++i) {
-    aside += aUntil[i] > aNow ? 1 : 0;
+    removed += aUntil[i] > aNow ? 1 : 0;
   }
-  return 2 * (aside + 1) <= aCount;
+  return 2 * (removed + 1) <= aCount;
 }
 
 } // namespace
 
 PorttillerPolicy::PorttillerPolicy(const Deployment& aDeployment,
-                                   bool aPlatformAway)
+                                   bool aPlatformUnavailable)
   : mDeployment(aDeployment)
-  , mPlatformAway(aPlatformAway)
+  , mPlatformUnavailable(aPlatformUnavailable)
   , mOptions(OptionsFor(aDeployment))
 {
   mCapacity.mFloorSlots = aDeployment.mFloorSlots;
@@ -165,10 +166,11 @@
   } else if (std::holds_alternative<RequestPermission>(aAction)) {
     mPending.push_back({ aNow + kPlatformCall, aServer, Eject(aServer) });
   } else {
-    if (!mPlatformAway) {
+    if (!mPlatformUnavailable) {
       mLedger = mLedger.WithoutServer(EntryOf(aServer, 0).mServer);
     }
-    mPending.push_back({ aNow + kPlatformCall, aServer, !mPlatformAway });
+    mPending.push_back(
+      { aNow + kPlatformCall, aServer, !mPlatformUnavailable });
   }
 }
 
@@ -182,7 +184,7 @@
     }
   }
   std::shuffle(others.begin(), others.end(), aRandom);
-  others.resize(std::min(others.size(), kAsked));
+  others.resize(std::min(others.size(), kPeersAsked));
   std::vector<PeerHealth> answers;
   for (const int other : others) {
     const auto health = mMachines[static_cast<std::size_t>(other)].Health();
@@ -196,7 +198,7 @@
 PermissionAnswer
 PorttillerPolicy::Eject(int aServer)
 {
-  if (mPlatformAway) {
+  if (mPlatformUnavailable) {
     return PermissionAnswer::kUnavailable;
   }
   const auto next =
@@ -264,9 +266,9 @@
 {
   const auto server = static_cast<std::size_t>(aAttempt.mServer);
   mFailures[server] = aEvidence.mFailed ? mFailures[server] + 1 : 0;
-  if (mFailures[server] >= kConsecutive &&
-      MaySetAside(mUntil, 0, mUntil.size(), aNow)) {
-    mUntil[server] = aNow + kBaselineAside;
+  if (mFailures[server] >= kConsecutiveFailureLimit &&
+      MayRemoveFromUse(mUntil, 0, mUntil.size(), aNow)) {
+    mUntil[server] = aNow + kBaselineEjectionTime;
     mFailures[server] = 0;
   }
 }
@@ -274,7 +276,7 @@
 void
 ConsecutiveFailures::OnPathFailure(const Attempt& aAttempt, TimePoint aNow)
 {
-  // An entry's time-out counts as the server's failure.
+  // A timeout at an entry counts as a failure of the server.
   OnEvidence(aAttempt, { .mFailed = true }, aNow);
 }
 
@@ -315,10 +317,10 @@
   auto& detector = mDetectors[index];
   detector.Observe(aEvidence, true, aNow);
   const auto servers = static_cast<std::size_t>(mServers);
-  const bool may =
-    MaySetAside(mUntil, PairIndex(aAttempt.mEntry, 0, mServers), servers, aNow);
+  const bool may = MayRemoveFromUse(
+    mUntil, PairIndex(aAttempt.mEntry, 0, mServers), servers, aNow);
   if (detector.Suspicious() && may) {
-    mUntil[index] = aNow + kBaselineAside;
+    mUntil[index] = aNow + kBaselineEjectionTime;
     detector.Reset();
   }
 }
@@ -347,7 +349,7 @@
 }
 
 bool
-EntrySide::SetAsideAnywhere(int aServer) const
+EntrySide::RemovedFromUseAnywhere(int aServer) const
 {
   for (int entry = 0; entry < mEntries; ++entry) {
     if (mUntil[PairIndex(entry, aServer, mServers)] > mNow) {
@@ -365,7 +367,7 @@
 Policy
 MakePolicy(const std::string& aName,
            const Deployment& aDeployment,
-           bool aPlatformAway)
+           bool aPlatformUnavailable)
 {
   if (aName == "consecutive-failures") {
     return ConsecutiveFailures(aDeployment);
@@ -376,7 +378,7 @@
   if (aName == "round-robin") {
     return RoundRobin();
   }
-  return PorttillerPolicy(aDeployment, aPlatformAway);
+  return PorttillerPolicy(aDeployment, aPlatformUnavailable);
 }
 
 } // namespace porttiller::bench
--- a/bench/sim/Policies.h
+++ b/bench/sim/Policies.h
@@ -1,4 +1,4 @@
-// The policies that are compared: porttiller's own parts, and the baselines.
+// The compared outlier detection policies: that of porttiller, and baselines.
 #pragma once
 
 #include "porttiller/policy/Balancer.h"
@@ -13,7 +13,7 @@
 
 namespace porttiller::bench {
 
-// One request as a policy sees it.
+// One attempt of a request as a policy sees it.
 struct Attempt
 {
   int mEntry = 0;
@@ -22,11 +22,12 @@
   bool mLastResort = false;
 };
 
-// porttiller: detection at the home, demotion, ejection by ledger, hints.
+// porttiller: detection at the home, demotion, ejection with a permission from
+// the ledger, and hints to entries when to retry a server.
 class PorttillerPolicy
 {
 public:
-  PorttillerPolicy(const Deployment& aDeployment, bool aPlatformAway);
+  PorttillerPolicy(const Deployment& aDeployment, bool aPlatformUnavailable);
 
   Standing StandingAt(int aEntry, int aServer, TimePoint aNow) const;
   GateVerdict Gate(const Attempt& aAttempt, TimePoint aNow);
@@ -42,7 +43,7 @@
   void SetThreshold(double aThreshold);
 
 private:
-  // An answer that is on its way back to a machine.
+  // A scheduled reply to an EjectionMachine.
   struct Pending
   {
     TimePoint mAt;
@@ -59,7 +60,7 @@
   void Deliver(const Pending& aPending, TimePoint aNow);
 
   const Deployment mDeployment;
-  const bool mPlatformAway;
+  const bool mPlatformUnavailable;
   EjectionOptions mOptions;
   std::vector<EjectionMachine> mMachines;
   std::vector<TimePoint> mAvoidUntil;  // by entry and server
@@ -70,8 +71,8 @@
   std::vector<Pending> mPending;
 };
 
-// Five failures in a row, counted where all of a server's answers are seen:
-// thirty seconds without work; at most half of the servers.
+// Five consecutive failures, counted over all responses of a server, remove it
+// from use for thirty seconds; never more than half of the servers.
 class ConsecutiveFailures
 {
 public:
@@ -91,8 +92,9 @@
   TimePoint mNow;
 };
 
-// porttiller's detector, but at each entry by itself, which cannot tell a
-// path from a server: thirty seconds; at most half of the servers.
+// porttiller's detector at each entry separately, which cannot distinguish a
+// failing path from a failing server. An entry removes a server from use for
+// thirty seconds, and never more than half of the servers.
 class EntrySide
 {
 public:
@@ -104,10 +106,10 @@
                   TimePoint aNow);
   void OnPathFailure(const Attempt& aAttempt, TimePoint aNow);
   void OnTick(TimePoint aNow, std::mt19937_64& aRandom);
-  // By every entry.
+  // Removed from use by every entry.
   bool SetAside(int aServer) const;
-  // By any entry.
-  bool SetAsideAnywhere(int aServer) const;
+  // Removed from use by at least one entry.
+  bool RemovedFromUseAnywhere(int aServer) const;
 
 private:
   const int mServers;
@@ -117,7 +119,7 @@
   TimePoint mNow;
 };
 
-// Nobody is ever set aside.
+// Never removes a server from use.
 class RoundRobin
 {
 public:
@@ -131,6 +133,6 @@
 Policy
 MakePolicy(const std::string& aName,
            const Deployment& aDeployment,
-           bool aPlatformAway);
+           bool aPlatformUnavailable);
 
 } // namespace porttiller::bench
--- a/bench/sim/Scenario.cpp
+++ b/bench/sim/Scenario.cpp
@@ -35,7 +35,7 @@
     { "cold-start", FaultKind::kColdStart, true },
     { "noise-bursts", FaultKind::kNoiseBursts, true },
     { "overload", FaultKind::kOverload, true },
-    { "platform-away", FaultKind::kPlatformAway },
+    { "platform-away", FaultKind::kPlatformUnavailable },
   };
   return scenarios;
 }
--- a/bench/sim/SimWorkspace.cpp
+++ b/bench/sim/SimWorkspace.cpp
@@ -13,7 +13,7 @@
   std::vector<double> sizes;
   double sum = 0.0;
   for (int i = 0; i < aCount; ++i) {
-    // A few large ones: sizes fall with the square root of the rank and less.
+    // Sizes fall with rank^-0.8, which gives a few large workspaces.
     sizes.push_back(uniform(random) / std::pow(i + 1.0, 0.8));
     sum += sizes.back();
   }
@@ -22,7 +22,7 @@
     const double usual = aTotal * size / sum;
     const double rate = std::ceil(usual * aRoom);
     workspaces.push_back({ .mLimit = { .mRatePerSecond = rate, .mBurst = rate },
-                           .mUsual = usual });
+                           .mUsualRate = usual });
   }
   return workspaces;
 }
--- a/bench/sim/SimWorkspace.h
+++ b/bench/sim/SimWorkspace.h
@@ -8,16 +8,16 @@
 
 namespace porttiller::bench {
 
-// A workspace and how much it sends.
+// A workspace, its limit and its load.
 struct SimWorkspace
 {
   RequestLimit mLimit;
-  double mUsual = 0.0; // requests a second through all entries
-  double mHotFactor = 1.0;
+  double mUsualRate = 0.0; // requests a second through all entries
+  double mHotFactor = 1.0; // on the usual rate, in the hot period
 };
 
-// As on a sheet: aCount workspaces with a few large ones, aTotal requests a
-// second in all, each limited to aRoom times its usual.
+// Draws aCount workspaces, a few of them large, that usually send aTotal
+// requests a second together. Each is limited to aRoom times its usual rate.
 std::vector<SimWorkspace>
 DrawWorkspaces(int aCount, double aTotal, double aRoom, std::uint64_t aSeed);
 
--- a/bench/sim/World.cpp
+++ b/bench/sim/Simulation.cpp
@@ -1,4 +1,4 @@
-#include "sim/World.h"
+#include "sim/Simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,13 +9,15 @@
 
 constexpr Millis kTick{ 50 };
 constexpr Millis kDeadline{ 1000 };
-constexpr Millis kPathPatience{ 150 }; // until a lost request is revoked
+constexpr Millis kLostRequestTimeout{
+  150
+}; // then the entry revokes the attempt
 constexpr double kRepeatableShare = 0.6;
 constexpr double kCriticalShare = 0.2;
 constexpr double kSheddableShare = 0.3;
 constexpr int kMaxAttempts = 4;
 constexpr double kOverloadFactor = 2.0;
-constexpr double kUnboundedQueue = 1e6; // baselines shed nothing
+constexpr double kUnboundedQueue = 1e6; // baselines do not shed load
 
 bool
 IsPorttiller(const Policy& aPolicy)
@@ -46,17 +48,17 @@
 
 } // namespace
 
-World::World(const Deployment& aDeployment,
-             const Scenario& aScenario,
-             const RunOptions& aOptions)
+Simulation::Simulation(const Deployment& aDeployment,
+                       const Scenario& aScenario,
+                       const RunOptions& aOptions)
   : mDeployment(aDeployment)
   , mScenario(aScenario)
   , mRandom(aOptions.mSeed)
   , mFaults(aScenario.mKind, aDeployment)
   , mPolicy(MakePolicy(aOptions.mPolicy,
                        aDeployment,
-                       aScenario.mKind == FaultKind::kPlatformAway))
-  , mWasAside(static_cast<std::size_t>(aDeployment.mServers))
+                       aScenario.mKind == FaultKind::kPlatformUnavailable))
+  , mWasRemoved(static_cast<std::size_t>(aDeployment.mServers))
   , mReportedLoad(static_cast<std::size_t>(aDeployment.mServers))
 {
   auto* own = std::get_if<PorttillerPolicy>(&mPolicy);
@@ -69,19 +71,19 @@
 }
 
 double
-World::Uniform()
+Simulation::Uniform()
 {
   return std::uniform_real_distribution<double>(0.0, 1.0)(mRandom);
 }
 
 void
-World::At(TimePoint aTime, std::function<void()> aRun)
+Simulation::At(TimePoint aTime, std::function<void()> aRun)
 {
   mEvents.push({ aTime, mOrder++, std::move(aRun) });
 }
 
 RunResult
-World::Run()
+Simulation::Run()
 {
   ArriveNext();
   At(TimePoint(kTick), [this] { Tick(); });
@@ -100,18 +102,18 @@
 }
 
 void
-World::RestartCold()
+Simulation::RestartCold()
 {
   if (auto* own = std::get_if<PorttillerPolicy>(&mPolicy)) {
-    own->OnServerRestart(kSickServer, mNow);
+    own->OnServerRestart(kFaultyServer, mNow);
   }
 }
 
 void
-World::ArriveNext()
+Simulation::ArriveNext()
 {
   double rate = mDeployment.mRatePerServer * mDeployment.mServers;
-  if (mScenario.mKind == FaultKind::kOverload && mFaults.IsOn(mNow)) {
+  if (mScenario.mKind == FaultKind::kOverload && mFaults.IsActive(mNow)) {
     rate = kOverloadFactor * CapacityRate(mDeployment);
   }
   const double gap = std::exponential_distribution<double>(rate)(mRandom);
@@ -122,7 +124,7 @@
 }
 
 void
-World::Arrive()
+Simulation::Arrive()
 {
   const auto servers = static_cast<std::size_t>(mDeployment.mServers);
   Request request;
@@ -140,7 +142,7 @@
   request.mTried.resize(servers);
   request.mDemoted.resize(servers);
   ++mResult.mRequests;
-  if (mFaults.IsOn(mNow)) {
+  if (mFaults.IsActive(mNow)) {
     ++mResult.mOffered.at(static_cast<std::size_t>(request.mPriority));
   }
   mBudget.OnFirstAttempt(mNow);
@@ -150,7 +152,7 @@
 }
 
 std::vector<Candidate>
-World::Candidates(const Request& aRequest) const
+Simulation::Candidates(const Request& aRequest) const
 {
   std::vector<Candidate> candidates;
   for (int server = 0; server < mDeployment.mServers; ++server) {
@@ -175,14 +177,14 @@
 }
 
 void
-World::Dispatch(Ticket aId)
+Simulation::Dispatch(Ticket aId)
 {
   auto& request = mRequests.at(aId);
   const auto candidates = Candidates(request);
   const BalancerOptions options;
   const auto chosen = ChooseServer(candidates, options, mRandom(), mRandom());
   if (!chosen || request.mAttempts >= kMaxAttempts) {
-    if (AskDemoted(request)) {
+    if (AllowDemoted(request)) {
       Dispatch(aId);
     } else {
       End(aId, false);
@@ -193,17 +195,19 @@
   request.mTried[*chosen] = true;
   ++request.mAttempts;
   if (mFaults.PathCut(request.mEntry, server, mNow)) {
-    At(mNow + kPathPatience, [this, aId, server] { OnLost(aId, server); });
+    At(mNow + kLostRequestTimeout,
+       [this, aId, server] { OnLost(aId, server); });
     return;
   }
-  const auto trip =
+  const auto delay =
     server == request.mEntry ? Micros(0) : mDeployment.mZoneDelay;
-  At(mNow + trip, [this, aId, server] { Reach(aId, server); });
+  At(mNow + delay, [this, aId, server] { ArriveAtHome(aId, server); });
 }
 
-// Demoted servers serve as the last resort; false when there is none.
+// Allows the request to try demoted servers as the last resort; false if there
+// are none, or they have been allowed already.
 bool
-World::AskDemoted(Request& aRequest)
+Simulation::AllowDemoted(Request& aRequest)
 {
   const auto& demoted = aRequest.mDemoted;
   const bool any =
@@ -220,13 +224,13 @@
 }
 
 void
-World::OnLost(Ticket aId, int aServer)
+Simulation::OnLost(Ticket aId, int aServer)
 {
   const auto& request = mRequests.at(aId);
   const Attempt attempt{ request.mEntry, aServer, request.mRepeatable, false };
   std::visit([&](auto& aPolicy) { aPolicy.OnPathFailure(attempt, mNow); },
              mPolicy);
-  // Only a home can confirm that it was not run.
+  // Only porttiller's home can confirm that the attempt was not run.
   if (request.mRepeatable || IsPorttiller(mPolicy)) {
     Dispatch(aId);
   } else {
@@ -235,7 +239,7 @@
 }
 
 void
-World::Reach(Ticket aId, int aServer)
+Simulation::ArriveAtHome(Ticket aId, int aServer)
 {
   auto& request = mRequests.at(aId);
   const Attempt attempt{
@@ -269,7 +273,7 @@
 }
 
 void
-World::Start(Ticket aId, int aServer)
+Simulation::Start(Ticket aId, int aServer)
 {
   const auto& request = mRequests.at(aId);
   const double ms =
@@ -285,7 +289,7 @@
 }
 
 void
-World::Complete(Ticket aId, int aServer, Micros aTime, bool aFailed)
+Simulation::Complete(Ticket aId, int aServer, Micros aTime, bool aFailed)
 {
   const auto request = mRequests.at(aId);
   const Attempt attempt{
@@ -302,7 +306,7 @@
       }
     },
     mPolicy);
-  Freed(aServer, aTime);
+  ReleaseSlot(aServer, aTime);
   auto& queue = mQueues[static_cast<std::size_t>(aServer)];
   mReportedLoad[static_cast<std::size_t>(aServer)] =
     static_cast<double>(queue.Running() + queue.Waiting()) / queue.SlotLimit();
@@ -316,7 +320,7 @@
 }
 
 void
-World::Freed(int aServer, std::optional<Micros> aTime)
+Simulation::ReleaseSlot(int aServer, std::optional<Micros> aTime)
 {
   auto& queue = mQueues[static_cast<std::size_t>(aServer)];
   const auto freed = queue.Release(aTime, mNow);
@@ -329,7 +333,7 @@
 }
 
 void
-World::OnFailure(Ticket aId)
+Simulation::OnFailure(Ticket aId)
 {
   const auto& request = mRequests.at(aId);
   if (request.mRepeatable && mBudget.TryRetry()) {
@@ -340,12 +344,12 @@
 }
 
 void
-World::End(Ticket aId, bool aGood)
+Simulation::End(Ticket aId, bool aGood)
 {
   const auto& request = mRequests.at(aId);
   const auto arrived = request.mDeadline - kDeadline;
   if (!aGood) {
-    ++mResult.mWrongRequests;
+    ++mResult.mFailedRequests;
   } else if (arrived >= kFaultBegins && arrived < kFaultEnds) {
     ++mResult.mGood.at(static_cast<std::size_t>(request.mPriority));
   }
@@ -353,45 +357,45 @@
 }
 
 bool
-World::IsToBlame(int aServer) const
+Simulation::IsAtFault(int aServer) const
 {
-  return !mScenario.mNobodyToBlame && aServer == kSickServer &&
+  return !mScenario.mNoServerAtFault && aServer == kFaultyServer &&
          mNow >= kFaultBegins;
 }
 
 void
-World::CountSetAside()
+Simulation::CountRemovals()
 {
   for (int server = 0; server < mDeployment.mServers; ++server) {
-    bool aside = false;
+    bool removed = false;
     bool anywhere = false;
     std::visit(
       [&](const auto& aPolicy) {
         if constexpr (requires { aPolicy.SetAside(server); }) {
-          aside = aPolicy.SetAside(server);
-          anywhere = aside;
+          removed = aPolicy.SetAside(server);
+          anywhere = removed;
         }
-        if constexpr (requires { aPolicy.SetAsideAnywhere(server); }) {
-          anywhere = aPolicy.SetAsideAnywhere(server);
+        if constexpr (requires { aPolicy.RemovedFromUseAnywhere(server); }) {
+          anywhere = aPolicy.RemovedFromUseAnywhere(server);
         }
       },
       mPolicy);
     const auto index = static_cast<std::size_t>(server);
-    if (IsToBlame(server)) {
-      if (aside && mResult.mDetectionMs < 0.0) {
+    if (IsAtFault(server)) {
+      if (removed && mResult.mDetectionMs < 0.0) {
         mResult.mDetectionMs =
           std::chrono::duration<double, std::milli>(mNow - kFaultBegins)
             .count();
       }
-    } else if (anywhere && !mWasAside[index]) {
+    } else if (anywhere && !mWasRemoved[index]) {
       ++mResult.mFalseEjections;
     }
-    mWasAside[index] = anywhere;
+    mWasRemoved[index] = anywhere;
   }
 }
 
 void
-World::Tick()
+Simulation::Tick()
 {
   std::visit(
     [&](auto& aPolicy) {
@@ -407,7 +411,7 @@
     }
   }
   mFaults.OnTick(mNow, mRandom);
-  CountSetAside();
+  CountRemovals();
   At(mNow + kTick, [this] { Tick(); });
 }
 
--- a/bench/sim/World.h
+++ b/bench/sim/Simulation.h
@@ -1,6 +1,7 @@
-// Runs one service through one scenario in simulated time: requests arrive,
-// the policy chooses, refuses and learns, servers answer. Only the policy
-// library's public parts decide; it is no model of a network.
+// Runs one service through one scenario in simulated time: requests arrive, the
+// policy chooses servers, rejects requests and learns from responses. All
+// decisions are made by the public classes of the policy library; of the
+// network, only fixed delays and lost requests are modelled.
 #pragma once
 
 #include "porttiller/policy/RetryBudget.h"
@@ -22,27 +23,27 @@
 {
   std::string mPolicy = "porttiller";
   std::uint64_t mSeed = 1;
-  std::optional<double> mThreshold; // another one than the deployment's
+  std::optional<double> mThreshold; // replaces the deployment's threshold
 };
 
 struct RunResult
 {
-  double mDetectionMs = -1.0; // -1: never, or nobody is to blame
-  int mFalseEjections = 0;    // healthy servers set aside, each time counted
-  int mWrongRequests = 0;     // failed requests that callers saw
+  double mDetectionMs = -1.0; // -1: not detected, or no server at fault
+  int mFalseEjections = 0;    // removals of healthy servers from use
+  int mFailedRequests = 0;    // failed requests seen by callers
   int mRequests = 0;
-  // During overload, by priority: answered in time, and offered.
+  // While the fault is active, by priority: answered in time, and offered.
   std::array<int, kPriorityCount> mGood{};
   std::array<int, kPriorityCount> mOffered{};
-  double mCapacity = 0.0; // requests that all slots could have served
+  double mCapacity = 0.0; // requests that all slots can serve during the fault
 };
 
-class World
+class Simulation
 {
 public:
-  World(const Deployment& aDeployment,
-        const Scenario& aScenario,
-        const RunOptions& aOptions);
+  Simulation(const Deployment& aDeployment,
+             const Scenario& aScenario,
+             const RunOptions& aOptions);
 
   RunResult Run();
 
@@ -76,18 +77,18 @@
   void Arrive();
   std::vector<Candidate> Candidates(const Request& aRequest) const;
   void Dispatch(Ticket aId);
-  bool AskDemoted(Request& aRequest);
+  bool AllowDemoted(Request& aRequest);
   void OnLost(Ticket aId, int aServer);
-  void Reach(Ticket aId, int aServer);
+  void ArriveAtHome(Ticket aId, int aServer);
   void Start(Ticket aId, int aServer);
   void Complete(Ticket aId, int aServer, Micros aTime, bool aFailed);
-  void Freed(int aServer, std::optional<Micros> aTime);
+  void ReleaseSlot(int aServer, std::optional<Micros> aTime);
   void OnFailure(Ticket aId);
   void End(Ticket aId, bool aGood);
   void Tick();
   void RestartCold();
-  void CountSetAside();
-  bool IsToBlame(int aServer) const;
+  void CountRemovals();
+  bool IsAtFault(int aServer) const;
   double Uniform();
 
   const Deployment& mDeployment;
@@ -96,7 +97,7 @@
   FaultModel mFaults;
   Policy mPolicy;
   std::vector<SlotQueue> mQueues;
-  std::vector<bool> mWasAside;
+  std::vector<bool> mWasRemoved;
   std::vector<double> mReportedLoad;
   RetryBudget mBudget;
   std::map<Ticket, Request> mRequests;
--- a/bench/tests/LimitFleetTest.cpp
+++ b/bench/tests/LimitFleetTest.cpp
@@ -1,4 +1,4 @@
-// The limits of workspaces over whole fleets, on drawn load and faults.
+// Workspace rate limits over whole fleets, with random load and faults.
 #include "sim/LimitFleet.h"
 
 #include "FuzzDraw.h"
@@ -11,7 +11,7 @@
 
 constexpr int kBoxes = 93;
 constexpr double kPerBox = 11.8; // requests a second
-constexpr double kRoom = 1.6;    // of a limit, compared with the usual load
+constexpr double kRoom = 1.6;    // limit divided by the usual load
 
 Micros
 Seconds(double aSeconds)
@@ -31,7 +31,7 @@
   return { .mBoxes = kBoxes, .mWorkspaces = workspaces, .mSeed = aSeed };
 }
 
-// No window of any workspace above what is allowed.
+// No window of any workspace exceeds what its limit allows.
 void
 CheckWindows(const LimitOutcome& aOutcome)
 {
@@ -43,7 +43,8 @@
 
 } // namespace
 
-TEST_CASE("All boxes together keep the limits of customers who send far more")
+TEST_CASE(
+  "All boxes together enforce the limits of workspaces that send far more")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
@@ -53,13 +54,13 @@
     for (std::size_t i = 0; i < outcome.mWorkspaces.size(); ++i) {
       const auto& workspace = outcome.mWorkspaces[i];
       if (options.mWorkspaces[i].mHotFactor == 1.0) {
-        CHECK(workspace.mRefusedBelow == 0);
+        CHECK(workspace.mRejectedBelowLimit == 0);
       }
     }
   }
 }
 
-TEST_CASE("Of a workspace beyond its limit, as much passes as the limit allows")
+TEST_CASE("A workspace above its limit is admitted as much as the limit allows")
 {
   auto options = HotFleet(7);
   options.mHotFrom = Seconds(5);
@@ -74,12 +75,12 @@
   }
 }
 
-TEST_CASE("Collectors that die, also all at once, let no window pass")
+TEST_CASE("No window exceeds its limit when some or all collectors are killed")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
     LimitFleet some(HotFleet(seed));
-    // The first boxes collect for their zones.
+    // The first boxes are the collectors of their zones.
     for (int box = 0; box < 9; ++box) {
       some.Kill(box, Seconds(11), Seconds(2));
     }
@@ -92,7 +93,7 @@
   }
 }
 
-TEST_CASE("A third of the boxes that is cut off lets no window pass")
+TEST_CASE("No window exceeds its limit when a third of the boxes is cut off")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
@@ -104,29 +105,29 @@
   }
 }
 
-TEST_CASE("Boxes that get no replies make no others refuse what is allowed")
+TEST_CASE("Boxes without replies make no other box reject allowed requests")
 {
-  // A third of the boxes reports, and hears nothing: what they have told must
-  // not count again and again.
+  // A third of the boxes sends reports but receives no replies. Reports that
+  // are sent again must not be counted twice.
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
     auto options = HotFleet(seed);
     options.mHotUntil = options.mHotFrom;
     LimitFleet fleet(options);
     for (int box = 0; box < kBoxes; ++box) {
-      if (box / 3 % 3 == 1) { // of each zone, the second collectors among them
-        fleet.Deafen(box, Seconds(8), Seconds(60));
+      if (box / 3 % 3 == 1) { // includes the second collector of each zone
+        fleet.CutInbound(box, Seconds(8), Seconds(60));
       }
     }
     const auto outcome = fleet.Run();
     CheckWindows(outcome);
     for (const auto& workspace : outcome.mWorkspaces) {
-      CHECK(workspace.mRefusedInTouch == 0);
+      CHECK(workspace.mRejectedConnected == 0);
     }
   }
 }
 
-TEST_CASE("A lower limit holds after a window, a higher one at once")
+TEST_CASE("A lower limit applies after one window, a higher one at once")
 {
   auto options = HotFleet(3);
   options.mHotUntil = options.mHotFrom;
@@ -141,7 +142,9 @@
   CHECK(workspace.mAdmitted > workspace.mOffered / 2);
 }
 
-TEST_CASE("Drawn cuts and kills let no window pass; calm fleets refuse nothing")
+TEST_CASE(
+  "No window exceeds its limit under random cuts and kills; without faults "
+  "nothing is rejected")
 {
   const bool ok = rc::check([] {
     auto options = HotFleet(Draw<std::uint64_t>(1, 1'000'000));
@@ -165,7 +168,7 @@
     }
     for (const auto& workspace : fleet.Run().mWorkspaces) {
       RC_ASSERT(workspace.mWorstWindow <= 1.0);
-      RC_ASSERT((faults || workspace.mRefusedBelow == 0));
+      RC_ASSERT((faults || workspace.mRejectedBelowLimit == 0));
     }
   });
   CHECK(ok);
