--- a/testing/FuzzDraw.h
+++ b/testing/FuzzDraw.h
@@ -1,12 +1,12 @@
-// Draws for stateful fuzzing.
+// Random values for stateful property tests.
 #pragma once
 
 #include <rapidcheck.h>
 
 namespace porttiller {
 
-// Uniform in [aMin, aMax), whatever rapidcheck's current size: small runs
-// would otherwise never get deep.
+// Returns a uniform value in [aMin, aMax). It ignores rapidcheck's current
+// size, because small sizes would never produce long sequences of steps.
 template<typename T>
 T
 Draw(T aMin, T aMax)
--- a/testing/Mutate.h
+++ b/testing/Mutate.h
@@ -1,4 +1,4 @@
-// Changes a text at random, for fuzzing what reads it.
+// Random mutations of a text, for fuzzing parsers.
 #pragma once
 
 #include "FuzzDraw.h"
@@ -8,8 +8,8 @@
 
 namespace porttiller {
 
-// Up to four changes: a byte replaced, removed or inserted, a part repeated or
-// cut off, or a JSON value put in.
+// Applies up to four changes: replaces or inserts a byte, removes or repeats up
+// to 19 bytes, truncates the text, or inserts a JSON value.
 inline std::string
 Mutated(std::string aText)
 {
--- a/testing/TestMain.cpp
+++ b/testing/TestMain.cpp
@@ -1,6 +1,6 @@
-// The one main of every test program. Test cases named in the environment's
-// KNOWN_RED (doctest filters, separated by commas) are passed over; tools/test
-// fills it from KNOWN-RED.txt.
+// The main function of every test program. Skips the test cases named in the
+// environment variable KNOWN_RED (doctest filters, separated by commas), which
+// tools/test sets from KNOWN-RED.txt.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <cstdlib>
 #include <doctest/doctest.h>
--- a/testing/demo.cpp
+++ b/testing/demo.cpp
@@ -1,5 +1,5 @@
-// The demo: three boxes in three availability zones as processes, requests
-// through each of them, every answer checked byte by byte.
+// Demo: starts three boxes in three availability zones as processes, sends
+// requests through each of them and compares every answer byte by byte.
 #include "fleet/Fleet.h"
 
 #include <iostream>
@@ -11,7 +11,7 @@
 constexpr int kRequests = 300;
 constexpr int kPortBase = 24000;
 
-// True when aReply is the whole answer of some server to exactly this request.
+// Returns whether aReply is the complete answer of any server to this request.
 bool
 IsCorrect(const fleet::Reply& aReply,
           const std::string& aId,
