--- a/testing/fleet/Fleet.cpp
+++ b/testing/fleet/Fleet.cpp
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr int kPortsPerBox = 4;
-constexpr int kServerPortOffset = 500;
+constexpr int kFirstServerPortOffset = 500;
 constexpr int kPlatformPortOffset = 900;
 constexpr int kCallerConnections = 256;
 constexpr Millis kStartWait{ 10'000 };
 constexpr Millis kAdminWait{ 2000 };
-constexpr Millis kPoll{ 10 };
+constexpr Millis kPollInterval{ 10 };
 
 std::string
 Loopback(int aPort)
@@ -34,9 +34,9 @@
 } // namespace
 
 Reply
-SendTo(HttpPool& aPool, const HttpRequestData& aRequest, Millis aTime)
+SendTo(HttpPool& aPool, const HttpRequestData& aRequest, Millis aTimeout)
 {
-  const auto deadline = Now() + aTime;
+  const auto deadline = Now() + aTimeout;
   auto exchange = aPool.Begin(aRequest, deadline);
   if (!exchange || !(*exchange)->WaitReadable(deadline)) {
     return {};
@@ -52,14 +52,14 @@
 }
 
 bool
-WaitUntil(Millis aTime, const std::function<bool()>& aCondition)
+WaitUntil(Millis aTimeout, const std::function<bool()>& aCondition)
 {
-  const auto until = Now() + aTime;
+  const auto until = Now() + aTimeout;
   while (!aCondition()) {
     if (Now() > until) {
       return false;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
@@ -82,7 +82,7 @@
   }
   for (int box = 0; box < mOptions.mBoxes; ++box) {
     if (!WaitInForce(box, kStartWait)) {
-      throw std::runtime_error("a box did not start");
+      throw std::runtime_error("a box did not apply the configuration in time");
     }
   }
 }
@@ -139,7 +139,7 @@
 std::string
 Fleet::ServerAddress(int aIndex) const
 {
-  return Loopback(mOptions.mPortBase + kServerPortOffset + aIndex);
+  return Loopback(mOptions.mPortBase + kFirstServerPortOffset + aIndex);
 }
 
 int
@@ -231,7 +231,8 @@
   }
   ObjectClient client({ .mAddress = PlatformAddress() });
   if (!client.Create({ aKind, aName }, aSpec)) {
-    throw std::runtime_error("the platform stand-in refused " + aName);
+    throw std::runtime_error("the platform stand-in rejected the object " +
+                             aName);
   }
 }
 
@@ -316,9 +317,9 @@
 }
 
 int
-Fleet::WaitForBoxExit(int aBox, Millis aTime)
+Fleet::WaitForBoxExit(int aBox, Millis aTimeout)
 {
-  return mBoxes.at(aBox)->WaitForExit(aTime);
+  return mBoxes.at(aBox)->WaitForExit(aTimeout);
 }
 
 std::string
@@ -382,19 +383,20 @@
 }
 
 bool
-Fleet::WaitInForce(int aBox, Millis aTime)
+Fleet::WaitInForce(int aBox, Millis aTimeout)
 {
   ObjectClient client({ .mAddress = PlatformAddress() });
   const auto list = client.ListConfiguration();
   if (!list) {
     return false;
   }
-  // Not the store's revision: statuses and ledgers move that on, too.
+  // The store's revision would not do: writes of statuses and ledgers advance
+  // it, too.
   std::uint64_t newest = 0;
   for (const auto& object : list->mObjects) {
     newest = std::max(newest, object.mVersion);
   }
-  return WaitUntil(aTime, [&] { return Revision(aBox) >= newest; });
+  return WaitUntil(aTimeout, [&] { return Revision(aBox) >= newest; });
 }
 
 int
@@ -408,10 +410,10 @@
 }
 
 bool
-Fleet::WaitUsed(int aEntry, int aServer, Millis aTime)
+Fleet::WaitUntilUsed(int aEntry, int aServer, Millis aTimeout)
 {
   const auto own = ServerName(aServer) + "|";
-  return WaitUntil(aTime, [&] {
+  return WaitUntil(aTimeout, [&] {
     return Send(aEntry, "GET", "/warm-up", "").mBody.starts_with(own);
   });
 }
@@ -422,14 +424,14 @@
             const std::string& aTarget,
             const std::string& aBody,
             const HttpHeaders& aHeaders,
-            Millis aTime)
+            Millis aTimeout)
 {
   return SendTo(*mCallers.at(aBox),
                 { .mMethod = aMethod,
                   .mTarget = aTarget,
                   .mHeaders = aHeaders,
                   .mBody = aBody },
-                aTime);
+                aTimeout);
 }
 
 } // namespace porttiller::fleet
--- a/testing/fleet/Fleet.h
+++ b/testing/fleet/Fleet.h
@@ -1,5 +1,5 @@
-// A small fleet for tests, the demo and bench/: daemons as processes on
-// loopback, with stand-ins around them.
+// A small fleet for tests, the demo and bench/: daemon processes on loopback,
+// and fakes of the platform and the backend servers.
 #pragma once
 
 #include "porttiller/http/HttpPool.h"
@@ -19,16 +19,17 @@
 {
   int mBoxes = 3;
   int mServersPerBox = 1;
-  int mFirstServerBox = 0; // boxes before it have no servers
-  int mZones = 27;         // boxes are dealt to them in turns
-  int mSlots = 9;
+  int mFirstServerBox = 0; // lower box numbers have no servers
+  int mZones = 27;         // boxes are assigned round-robin
+  int mSlots = 9;          // concurrent requests per server
   int mFloorSlots = 9;
   std::string mDetection = "fast";
-  int mPortBase = 22000;      // four ports for each box from here
-  bool mOwnProcesses = false; // stand-ins as processes of their own too
-  // Relays before the platform and before each box's home and control address.
+  int mPortBase = 22000;      // first port; each box uses four
+  bool mOwnProcesses = false; // run each fake as a process
+  // Puts a relay in front of the platform and of each box's home and control
+  // address.
   bool mLinks = false;
-  std::string mExtraSettings; // more keys, starting with a comma
+  std::string mExtraSettings; // JSON members, with a leading comma
   Millis mDefaultDeadline{ 5000 };
 };
 
@@ -40,8 +41,8 @@
   std::string mBody;
 };
 
-// Everything is started by the constructor and ended by the destructor.
-// Service "ledger" has its route at "/".
+// The constructor starts all processes and the destructor ends them. Requests
+// to any path are routed to the service "ledger".
 class Fleet
 {
 public:
@@ -54,25 +55,27 @@
   standin::ServerStandIn& Server(int aIndex) { return *mServers.at(aIndex); }
   int ServerCount() const { return static_cast<int>(mServers.size()); }
   int RunsOf(const std::string& aId) const;
-  // True once a request at this entry is answered by this server.
-  bool WaitUsed(int aEntry, int aServer, Millis aTime);
+  // Sends requests to an entry until this server answers one; false after
+  // aTimeout.
+  bool WaitUntilUsed(int aEntry, int aServer, Millis aTimeout);
 
-  // Box by number.
+  // Boxes are numbered from 0.
   void StartBox(int aBox);
   void SignalBox(int aBox, int aSignal);
-  int WaitForBoxExit(int aBox, Millis aTime);
+  int WaitForBoxExit(int aBox, Millis aTimeout);
   pid_t BoxProcess(int aBox) const { return mBoxes.at(aBox)->Id(); }
-  // True when the box's state has the revision of the platform in force.
-  bool WaitInForce(int aBox, Millis aTime);
+  // Waits until the box uses the platform's newest configuration; false after
+  // aTimeout.
+  bool WaitInForce(int aBox, Millis aTimeout);
   std::string State(int aBox) const;
   std::string Metrics(int aBox) const;
-  // With mLinks: drops what is sent over the connections that are open, to the
-  // platform and between boxes. Later ones work.
+  // These require mLinks. They drop all data on the connections that are open,
+  // to the platform or between boxes; new connections work.
   void SilencePlatformLinks();
   void SilenceBoxLinks();
-  // The phase of a server as its home has it, e.g. "ejected".
+  // The phase of a server as its home reports it, e.g. "ejected".
   std::string Phase(int aServer) const;
-  // A metric without labels; 0 when it is not there.
+  // The value of a metric without labels; 0 if there is no such metric.
   double Metric(int aBox, const std::string& aName) const;
   std::uint64_t Revision(int aBox) const;
 
@@ -81,7 +84,7 @@
              const std::string& aTarget,
              const std::string& aBody,
              const HttpHeaders& aHeaders = {},
-             Millis aTime = Millis(10'000));
+             Millis aTimeout = Millis(10'000));
 
   std::string CallerAddress(int aBox) const;
   std::string HomeAddress(int aBox) const;
@@ -93,7 +96,7 @@
   static std::string ServerName(int aIndex);
   int BoxOfServer(int aIndex) const;
 
-  // Writes box aBox's entry in the platform's list, reached at these.
+  // Writes the Box object of aBox with these addresses to the platform.
   void PutBox(int aBox,
               const std::string& aHomeAddress,
               const std::string& aControlAddress,
@@ -119,18 +122,18 @@
   std::vector<std::unique_ptr<standin::ChildProcess>> mStandIns;
   std::vector<std::unique_ptr<standin::ChildProcess>> mBoxes;
   std::vector<std::unique_ptr<HttpPool>> mCallers; // by box
-  // With mLinks.
+  // Only with mLinks.
   std::unique_ptr<standin::LinkStandIn> mPlatformLink;
   std::vector<std::unique_ptr<standin::LinkStandIn>> mHomeLinks;    // by box
   std::vector<std::unique_ptr<standin::LinkStandIn>> mControlLinks; // by box
 };
 
-// Sends one request to an address; status 0 without an answer.
+// Sends one request over a pool; the status is 0 if there is no answer.
 Reply
-SendTo(HttpPool& aPool, const HttpRequestData& aRequest, Millis aTime);
+SendTo(HttpPool& aPool, const HttpRequestData& aRequest, Millis aTimeout);
 
-// True once aCondition holds; asks again until aTime has passed.
+// Polls until aCondition holds and returns true; returns false after aTimeout.
 bool
-WaitUntil(Millis aTime, const std::function<bool()>& aCondition);
+WaitUntil(Millis aTimeout, const std::function<bool()>& aCondition);
 
 } // namespace porttiller::fleet
--- a/testing/fleet/MeshFleet.cpp
+++ b/testing/fleet/MeshFleet.cpp
@@ -15,16 +15,18 @@
 
 constexpr std::int64_t kFirstStartMs = 1'700'000'000'000;
 constexpr int kPortsPerBox = 8;
-constexpr int kServerPort = 6; // of a box's own
-constexpr int kStorePort = 900;
+constexpr int kServerPortOffset = 6;  // from the first port of the box
+constexpr int kStorePortOffset = 900; // from the first port of the fleet
 constexpr Millis kStartWait{ 15'000 };
-constexpr Millis kAsk{ 2000 };
+constexpr Millis kAnswerWait{ 2000 };
 
 Reply
-Ask(const std::string& aAddress, const HttpRequestData& aRequest, Millis aTime)
+SendOnNewConnection(const std::string& aAddress,
+                    const HttpRequestData& aRequest,
+                    Millis aTimeout)
 {
   HttpPool pool({ .mAddress = aAddress });
-  return SendTo(pool, aRequest, aTime);
+  return SendTo(pool, aRequest, aTimeout);
 }
 
 std::string
@@ -44,26 +46,27 @@
 {
   std::filesystem::create_directories(mDirectory);
   const auto store =
-    "127.0.0.1:" + std::to_string(mOptions.mPortBase + kStorePort);
+    "127.0.0.1:" + std::to_string(mOptions.mPortBase + kStorePortOffset);
   mStore = std::make_unique<standin::ObjectStoreStandIn>(store);
   Configure();
   mBoxes.resize(static_cast<std::size_t>(mOptions.mBoxes));
   for (int box = 0; box < mOptions.mBoxes; ++box) {
     if (mOptions.mLinks) {
       mStoreLinks.push_back(std::make_unique<standin::LinkStandIn>(store));
-      mServerLinks.push_back(
-        std::make_unique<standin::LinkStandIn>(Address(box, kServerPort)));
+      mServerLinks.push_back(std::make_unique<standin::LinkStandIn>(
+        Address(box, kServerPortOffset)));
     }
     mServers.push_back(MakeServer(box));
     StartBox(box, true);
   }
   for (int box = 0; box < mOptions.mBoxes; ++box) {
     if (!WaitUntil(kStartWait, [&] { return Server(box).Beat(); })) {
-      throw std::runtime_error("a server was not taken in");
+      throw std::runtime_error(
+        "a box did not acknowledge the heartbeat of its server");
     }
   }
   if (!WaitServers(mOptions.mBoxes)) {
-    throw std::runtime_error("the boxes do not know each other");
+    throw std::runtime_error("the boxes did not learn of all servers in time");
   }
 }
 
@@ -78,7 +81,7 @@
     standin::MeshServerOptions{
       .mId = id,
       .mService = "ledger",
-      .mAddress = Address(aBox, kServerPort),
+      .mAddress = Address(aBox, kServerPortOffset),
       .mAdvertised = mOptions.mLinks ? ServerLink(aBox).Address() : "",
       .mRegistration = Address(aBox, 4),
       .mStartMs = mOptions.mStartTimes
@@ -162,7 +165,7 @@
   const auto platform =
     mOptions.mLinks
       ? mStoreLinks.at(static_cast<std::size_t>(aBox))->Address()
-      : "127.0.0.1:" + std::to_string(mOptions.mPortBase + kStorePort);
+      : "127.0.0.1:" + std::to_string(mOptions.mPortBase + kStorePortOffset);
   auto file = mDirectory + "/" + name + ".json";
   std::ofstream(file) << R"({ "dialect": "mesh", "failing_servers": "break",
     "box": ")" << name << R"(", "zone": "zone-)"
@@ -211,9 +214,9 @@
 }
 
 int
-MeshFleet::WaitForBoxExit(int aBox, Millis aTime)
+MeshFleet::WaitForBoxExit(int aBox, Millis aTimeout)
 {
-  const int code = mBoxes.at(aBox)->WaitForExit(aTime);
+  const int code = mBoxes.at(aBox)->WaitForExit(aTimeout);
   mBoxes.at(aBox).reset();
   return code;
 }
@@ -221,22 +224,27 @@
 bool
 MeshFleet::Ready(int aBox)
 {
-  return Ask(Address(aBox, 5), { .mMethod = "GET", .mTarget = "/ready" }, kAsk)
+  return SendOnNewConnection(Address(aBox, 5),
+                             { .mMethod = "GET", .mTarget = "/ready" },
+                             kAnswerWait)
            .mStatus == 200;
 }
 
 std::string
 MeshFleet::State(int aBox) const
 {
-  return Ask(Address(aBox, 3), { .mMethod = "GET", .mTarget = "/state" }, kAsk)
+  return SendOnNewConnection(Address(aBox, 3),
+                             { .mMethod = "GET", .mTarget = "/state" },
+                             kAnswerWait)
     .mBody;
 }
 
 std::string
 MeshFleet::MetricsOf(int aBox) const
 {
-  return Ask(
-           Address(aBox, 3), { .mMethod = "GET", .mTarget = "/metrics" }, kAsk)
+  return SendOnNewConnection(Address(aBox, 3),
+                             { .mMethod = "GET", .mTarget = "/metrics" },
+                             kAnswerWait)
     .mBody;
 }
 
@@ -263,14 +271,14 @@
                 const std::string& aTarget,
                 const std::string& aId,
                 const std::string& aBody,
-                Millis aTime)
+                Millis aTimeout)
 {
   return Send({ .mBox = aBox,
                 .mMethod = aMethod,
                 .mTarget = aTarget,
                 .mId = aId,
                 .mBody = aBody,
-                .mTime = aTime });
+                .mTimeout = aTimeout });
 }
 
 Reply
@@ -281,7 +289,7 @@
     .mTarget = aRequest.mTarget,
     .mHeaders = { { "Host", "a.example" },
                   { "Request-Id", aRequest.mId },
-                  { "Deadline-Ms", std::to_string(aRequest.mTime.count()) },
+                  { "Deadline-Ms", std::to_string(aRequest.mTimeout.count()) },
                   { "Caller-Service", "forged" },
                   { "Tenant", "forged" } },
     .mBody = aRequest.mBody
@@ -289,10 +297,10 @@
   if (!aRequest.mKey.empty()) {
     http.mHeaders.push_back({ "Credential", aRequest.mKey });
   }
-  const auto time = aRequest.mTime + kAsk;
+  const auto timeout = aRequest.mTimeout + kAnswerWait;
   return aRequest.mPool != nullptr
-           ? SendTo(*aRequest.mPool, http, time)
-           : Ask(CallerAddress(aRequest.mBox), http, time);
+           ? SendTo(*aRequest.mPool, http, timeout)
+           : SendOnNewConnection(CallerAddress(aRequest.mBox), http, timeout);
 }
 
 std::string
@@ -307,7 +315,7 @@
 }
 
 std::string
-MeshFleet::SeenByServers() const
+MeshFleet::HeadersSeenByServers() const
 {
   std::string seen;
   for (const auto& server : mServers) {
--- a/testing/fleet/MeshFleet.h
+++ b/testing/fleet/MeshFleet.h
@@ -1,5 +1,5 @@
-// Daemons as processes on loopback that speak as on the users' machines, with
-// a store and one backend server beside each.
+// Daemon processes on loopback that use the mesh dialect, with a fake object
+// store and one fake backend server for each box.
 #pragma once
 
 #include "fleet/Fleet.h"
@@ -13,31 +13,32 @@
 
 namespace porttiller::fleet {
 
-// Service "ledger" takes GET and POST below "/safe/" and "/once/" of host
-// "a.example"; the latter run once at most.
+// The service "ledger" is routed at "/safe/" (repeatable requests) and "/once/"
+// (requests that run at most once) of host "a.example".
 struct MeshFleetOptions
 {
   int mBoxes = 3;
-  int mPortBase = 25000;
-  // Relays between each box and the store, and each box and its server.
+  int mPortBase = 25000; // first port; each box uses eight
+  // Puts relays between each box and the store, and between each box and its
+  // server.
   bool mLinks = false;
-  // Servers report when they started.
+  // Servers report their start times.
   bool mStartTimes = false;
   Millis mDrainNotice{ 2000 };
   Millis mDrain{ 12'000 };
 };
 
-// One request of a caller.
+// A request that a caller sends.
 struct MeshRequest
 {
   int mBox = 0;
   std::string mMethod = "GET";
   std::string mTarget = "/safe/x";
   std::string mId;
-  std::string mKey; // empty: the request carries none
+  std::string mKey; // API key; empty: none is sent
   std::string mBody;
-  Millis mTime{ 4000 };
-  HttpPool* mPool = nullptr; // null: a connection of its own
+  Millis mTimeout{ 4000 };
+  HttpPool* mPool = nullptr; // null: use a new connection
 };
 
 class MeshFleet
@@ -55,25 +56,28 @@
   standin::ObjectStoreStandIn& Store() { return *mStore; }
   standin::MeshServerStandIn& Server(int aBox) { return *mServers.at(aBox); }
 
-  // With mLinks.
+  // Both require mLinks.
   standin::LinkStandIn& StoreLink(int aBox) { return *mStoreLinks.at(aBox); }
   standin::LinkStandIn& ServerLink(int aBox) { return *mServerLinks.at(aBox); }
-  // The server of a box ends, and one with another id has its address.
+  // Stops the server of a box and starts one with another id at its address.
   void ReplaceServer(int aBox);
-  // The server of a box ends without a message and starts again under its id.
-  // Its next Beat reports the new start.
+  // Stops the server of a box without a message and starts it again under its
+  // id. Its next Beat reports the new start time.
   void RestartServer(int aBox);
 
   void StartBox(int aBox, bool aFirstStart = false);
   void SignalBox(int aBox, int aSignal);
-  int WaitForBoxExit(int aBox, Millis aTime);
+  int WaitForBoxExit(int aBox, Millis aTimeout);
   bool Ready(int aBox);
   int PidOf(int aBox) const;
-  // True once every running box routes to this many servers that take work.
+  // Waits until every running box uses exactly this many servers; returns false
+  // on timeout.
   bool WaitServers(int aCount);
-  // Writes the operator's document, with one more route if named.
+  // Writes the next version of the configuration document, with one more route
+  // if aExtraPrefix is not empty.
   void Configure(const std::string& aExtraPrefix = "");
-  // The document's workspaces from now on, as JSON; "": none.
+  // Sets the workspaces of this and later versions of the document, as JSON;
+  // empty for none.
   void SetWorkspaces(const std::string& aTenants);
 
   Reply Send(const MeshRequest& aRequest);
@@ -82,12 +86,13 @@
              const std::string& aTarget,
              const std::string& aId,
              const std::string& aBody = "",
-             Millis aTime = Millis(4000));
+             Millis aTimeout = Millis(4000));
   int RunsOf(const std::string& aId) const;
-  // As the server was told that ran the request last.
+  // The workspace that a server received with this request; empty if no current
+  // server ran it.
   std::string WorkspaceOf(const std::string& aId) const;
-  // All headers that servers have got.
-  std::string SeenByServers() const;
+  // All request headers that the current servers have received.
+  std::string HeadersSeenByServers() const;
   std::string State(int aBox) const;
   std::string MetricsOf(int aBox) const;
   std::string CallerAddress(int aBox) const { return Address(aBox, 0); }
@@ -104,12 +109,13 @@
   std::string mTenants;
   int mVersion = 0;
   int mReplacements = 0;
-  std::int64_t mStarts = 0; // of servers that report their start
+  std::int64_t mStarts = 0; // of servers that report a start time
   std::unique_ptr<standin::ObjectStoreStandIn> mStore;
-  std::vector<std::unique_ptr<standin::ChildProcess>> mBoxes; // null: ended
+  std::vector<std::unique_ptr<standin::ChildProcess>> mBoxes; // null: exited
   std::vector<std::unique_ptr<standin::LinkStandIn>> mStoreLinks;
   std::vector<std::unique_ptr<standin::LinkStandIn>> mServerLinks;
   std::vector<std::unique_ptr<standin::MeshServerStandIn>> mServers;
+  // Stopped servers, kept because RunsOf counts their requests, too.
   std::vector<std::unique_ptr<standin::MeshServerStandIn>> mRetired;
 };
 
--- a/testing/fleet/Traffic.cpp
+++ b/testing/fleet/Traffic.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
+// How long after its deadline a request may be answered.
 constexpr Millis kAnswerSlack{ 8000 };
-constexpr int kServerErrors = 500;
+constexpr int kFirstServerErrorStatus = 500;
 
 bool
-IsOwnEcho(const Fleet& aFleet, const Record& aRecord)
+IsOwnEcho(const Fleet& aFleet, const RequestRecord& aRecord)
 {
   for (int i = 0; i < aFleet.ServerCount(); ++i) {
     if (aRecord.mReply.mBody ==
@@ -25,52 +26,54 @@
 }
 
 void
-JudgeOne(const Fleet& aFleet,
-         const Record& aRecord,
-         bool aRepeatable,
-         Verdict& aVerdict)
+CheckRecord(const Fleet& aFleet,
+            const RequestRecord& aRecord,
+            bool aRepeatable,
+            TrafficSummary& aSummary)
 {
   const auto runs = aFleet.RunsOf(aRecord.mId);
-  const auto broken = [&](const char* aWhat) {
-    aVerdict.mBroken.push_back(aRecord.mId + ": " + aWhat + ", status " +
-                               std::to_string(aRecord.mReply.mStatus) +
-                               ", runs " + std::to_string(runs));
+  const auto addViolation = [&](const char* aWhat) {
+    aSummary.mViolations.push_back(aRecord.mId + ": " + aWhat + ", status " +
+                                   std::to_string(aRecord.mReply.mStatus) +
+                                   ", runs " + std::to_string(runs));
   };
   const auto& reply = aRecord.mReply;
   if (!aRepeatable && runs > 1) {
-    broken("ran more than once");
+    addViolation("ran more than once");
   }
   if (reply.mStatus == 0) {
-    ++aVerdict.mNoAnswer;
+    ++aSummary.mNoAnswer;
   } else if (reply.mOutcome == "run") {
-    ++aVerdict.mRun;
+    ++aSummary.mRun;
     if (runs == 0) {
-      broken("said run, did not run");
+      addViolation("reported as run but did not run");
     }
-    if (reply.mStatus < kServerErrors && !IsOwnEcho(aFleet, aRecord)) {
-      broken("not the whole answer to its own request");
+    if (reply.mStatus < kFirstServerErrorStatus &&
+        !IsOwnEcho(aFleet, aRecord)) {
+      addViolation("answer is incomplete or belongs to another request");
     }
   } else if (reply.mOutcome == "not-run") {
-    ++aVerdict.mNotRun;
+    ++aSummary.mNotRun;
     if (runs != 0) {
-      broken("said not-run, ran");
+      addViolation("reported as not-run but ran");
     }
     if (HeaderValue(reply.mHeaders, "Retry-After").empty()) {
-      broken("refused without Retry-After");
+      addViolation("rejected without Retry-After");
     }
   } else if (reply.mOutcome == "unknown") {
-    ++aVerdict.mUnknown;
+    ++aSummary.mUnknown;
   } else {
-    broken("no outcome");
+    addViolation("answer has no outcome header");
   }
 }
 
 } // namespace
 
-std::vector<Record>
+std::vector<RequestRecord>
 SendTraffic(Fleet& aFleet, const TrafficOptions& aOptions)
 {
-  std::vector<Record> records(static_cast<std::size_t>(aOptions.mRequests));
+  std::vector<RequestRecord> records(
+    static_cast<std::size_t>(aOptions.mRequests));
   std::atomic<std::size_t> next{ 0 };
   const auto send = [&] {
     for (auto i = next++; i < records.size(); i = next++) {
@@ -101,27 +104,27 @@
   return records;
 }
 
-Verdict
-Judge(const Fleet& aFleet,
-      const std::vector<Record>& aRecords,
-      const TrafficOptions& aOptions)
+TrafficSummary
+CheckTraffic(const Fleet& aFleet,
+             const std::vector<RequestRecord>& aRecords,
+             const TrafficOptions& aOptions)
 {
-  Verdict verdict;
+  TrafficSummary summary;
   for (const auto& record : aRecords) {
-    JudgeOne(aFleet, record, aOptions.mMethod == "GET", verdict);
+    CheckRecord(aFleet, record, aOptions.mMethod == "GET", summary);
   }
-  return verdict;
+  return summary;
 }
 
 std::string
-ToText(const Verdict& aVerdict)
+ToText(const TrafficSummary& aSummary)
 {
-  std::string text = "run=" + std::to_string(aVerdict.mRun) +
-                     " not-run=" + std::to_string(aVerdict.mNotRun) +
-                     " unknown=" + std::to_string(aVerdict.mUnknown) +
-                     " no-answer=" + std::to_string(aVerdict.mNoAnswer);
-  for (const auto& broken : aVerdict.mBroken) {
-    text += "\n  broken: " + broken;
+  std::string text = "run=" + std::to_string(aSummary.mRun) +
+                     " not-run=" + std::to_string(aSummary.mNotRun) +
+                     " unknown=" + std::to_string(aSummary.mUnknown) +
+                     " no-answer=" + std::to_string(aSummary.mNoAnswer);
+  for (const auto& violation : aSummary.mViolations) {
+    text += "\n  violation: " + violation;
   }
   return text;
 }
--- a/testing/fleet/Traffic.h
+++ b/testing/fleet/Traffic.h
@@ -1,5 +1,5 @@
-// Requests sent at a fleet while something fails, and the check of what every
-// caller was promised.
+// Sends requests to a fleet, usually during a fault, and checks the guarantees
+// that callers have.
 #pragma once
 
 #include "fleet/Fleet.h"
@@ -12,47 +12,48 @@
 
 struct TrafficOptions
 {
-  std::string mMethod = "POST"; // not repeatable, unless GET
+  std::string mMethod = "POST"; // only GET is repeatable
   std::string mTarget = "/purchases";
   int mRequests = 60;
   int mThreads = 12;
-  std::vector<int> mEntries = { 0 }; // boxes, in turns
+  std::vector<int> mEntries = { 0 }; // boxes, used round-robin
   Millis mDeadline{ 1000 };
   Millis mGap{ 5 }; // between the requests of one thread
   std::string mIdPrefix = "r";
 };
 
-struct Record
+struct RequestRecord
 {
   std::string mId;
   std::string mBody;
   Reply mReply;
 };
 
-// Counts over all records; mBroken lists every broken promise.
-struct Verdict
+// Numbers of records by outcome, and a line for each violated guarantee.
+struct TrafficSummary
 {
   int mRun = 0;
   int mNotRun = 0;
   int mUnknown = 0;
   int mNoAnswer = 0;
-  std::vector<std::string> mBroken;
+  std::vector<std::string> mViolations;
 };
 
-// Sends all requests and returns when each has its answer.
-std::vector<Record>
+// Sends all requests and waits until each has been answered or has timed out.
+std::vector<RequestRecord>
 SendTraffic(Fleet& aFleet, const TrafficOptions& aOptions);
 
-// Checks, against what the servers saw: an answer is whole and the request's
-// own; not-run means never run; one that is not repeatable ran at most once,
-// and exactly once when its answer came.
-Verdict
-Judge(const Fleet& aFleet,
-      const std::vector<Record>& aRecords,
-      const TrafficOptions& aOptions);
+// Compares the answers with the requests that the servers ran. An answer must
+// be complete and belong to its request. A request reported as not-run must
+// never have run. A request that is not repeatable must run at most once, and
+// exactly once if it is reported as run.
+TrafficSummary
+CheckTraffic(const Fleet& aFleet,
+             const std::vector<RequestRecord>& aRecords,
+             const TrafficOptions& aOptions);
 
-// "run=58 not-run=2 ..." with the broken promises.
+// Formats the counts as "run=58 not-run=2 ...", followed by the violations.
 std::string
-ToText(const Verdict& aVerdict);
+ToText(const TrafficSummary& aSummary);
 
 } // namespace porttiller::fleet
--- a/testing/fleet/tests/CallerEdgeTest.cpp
+++ b/testing/fleet/tests/CallerEdgeTest.cpp
@@ -1,5 +1,5 @@
-// What a daemon does with requests that are malformed, oversized, or meant to
-// be read in two ways, and with headers that only the proxy may set.
+// Requests that are malformed, oversized or ambiguously framed, and requests
+// with headers that only the proxy may set.
 #include "fleet/Fleet.h"
 #include "porttiller/hop/HopHeaders.h"
 
@@ -15,8 +15,8 @@
 
 constexpr int kPortBase = 22500;
 
-// Sends bytes as they are and returns what comes back until the other side
-// closes or is silent.
+// Sends raw bytes and returns what is received until the peer closes or sends
+// nothing for a second.
 std::string
 SendRaw(const Fleet& aFleet, const std::string& aBytes)
 {
@@ -63,27 +63,28 @@
   return "POST /x HTTP/1.1\r\nHost: a\r\n" + aHeaders + "\r\n" + aBody;
 }
 
-// A second request hidden in what may be taken for the first one's body.
-const std::string kHidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
+// A second request, smuggled in bytes that may be taken for the first one's
+// body.
+const std::string kSmuggledRequest = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
 
 } // namespace
 
-TEST_CASE("Requests that could be read in two ways are refused and run nowhere")
+TEST_CASE("Requests with ambiguous framing are rejected and reach no server")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const std::string chunked = "Transfer-Encoding: chunked\r\n";
-  const std::vector<std::string> shapes = {
-    Request("Content-Length: 4\r\n" + chunked, "0\r\n\r\n" + kHidden),
-    Request(chunked + "Content-Length: 4\r\n", "0\r\n\r\n" + kHidden),
-    Request("Content-Length: 0\r\nContent-Length: 35\r\n", kHidden),
-    Request("Content-Length: +4\r\n", "abcd" + kHidden),
-    Request("Content-Length: -1\r\n", kHidden),
-    Request(chunked, "zz\r\nabc\r\n0\r\n\r\n" + kHidden),
-    Request("Transfer-Encoding: xchunked\r\n", "abc" + kHidden),
+  const std::vector<std::string> requests = {
+    Request("Content-Length: 4\r\n" + chunked, "0\r\n\r\n" + kSmuggledRequest),
+    Request(chunked + "Content-Length: 4\r\n", "0\r\n\r\n" + kSmuggledRequest),
+    Request("Content-Length: 0\r\nContent-Length: 35\r\n", kSmuggledRequest),
+    Request("Content-Length: +4\r\n", "abcd" + kSmuggledRequest),
+    Request("Content-Length: -1\r\n", kSmuggledRequest),
+    Request(chunked, "zz\r\nabc\r\n0\r\n\r\n" + kSmuggledRequest),
+    Request("Transfer-Encoding: xchunked\r\n", "abc" + kSmuggledRequest),
   };
-  for (const auto& shape : shapes) {
-    CAPTURE(shape);
-    const auto answer = SendRaw(fleet, shape);
+  for (const auto& request : requests) {
+    CAPTURE(request);
+    const auto answer = SendRaw(fleet, request);
     CAPTURE(answer);
     CHECK(StatusOf(answer) / 100 == 4);
     CHECK(CountAnswers(answer) == 1);
@@ -93,14 +94,15 @@
     const auto answer =
       SendRaw(fleet,
               Request(std::string("Content-Length: ") + length + "\r\n",
-                      "abcd" + kHidden));
+                      "abcd" + kSmuggledRequest));
     CHECK(StatusOf(answer) == 400);
     CHECK(CountAnswers(answer) == 1);
   }
   CHECK(fleet.Server(0).Runs() == 0);
 }
 
-TEST_CASE("Oversized and malformed requests get a clear answer")
+TEST_CASE(
+  "Oversized and malformed requests are rejected with a specific status")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   CHECK(StatusOf(SendRaw(
@@ -136,7 +138,7 @@
   }));
 }
 
-TEST_CASE("A caller cannot pose as an entry, nor a server as the proxy")
+TEST_CASE("A caller cannot forge headers that are internal to the proxy")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const auto reply =
@@ -152,14 +154,14 @@
   CHECK(reply.mOutcome == "run");
   CHECK(HeaderValue(reply.mHeaders, hop::kAnswerHop).empty());
   CHECK(fleet.RunsOf("one") == 1);
-  // Not an attempt: the home's port takes nothing else.
+  // A home accepts only attempts from entries.
   HttpPool home({ .mAddress = fleet.HomeAddress(0) });
   CHECK(
     SendTo(home, { .mMethod = "GET", .mTarget = "/x" }, Millis(2000)).mStatus ==
     400);
 }
 
-TEST_CASE("A server is told how long its caller waits")
+TEST_CASE("A server receives the remaining deadline of its caller")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const auto reply =
@@ -170,7 +172,7 @@
   CHECK(std::stoi(seen) <= 3000);
 }
 
-TEST_CASE("A chunked body reaches the server whole")
+TEST_CASE("A chunked body reaches the server completely")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const auto answer =
--- a/testing/fleet/tests/CommandLineTest.cpp
+++ b/testing/fleet/tests/CommandLineTest.cpp
@@ -1,4 +1,4 @@
-// The two programs as an operator meets them: exit codes and what they say.
+// The command lines of porttiller and porttillerctl: exit codes and output.
 #include "standin/ChildProcess.h"
 #include "standin/PlatformStandIn.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis kLong{ 20'000 };
+constexpr Millis kExitWait{ 20'000 };
 
 struct Result
 {
@@ -43,7 +43,7 @@
 {
   const auto log = WriteFile("");
   standin::ChildProcess process(aProgram, aArguments, log);
-  const int code = process.WaitForExit(kLong);
+  const int code = process.WaitForExit(kExitWait);
   return { code, ReadFile(log) };
 }
 
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("porttiller lists every wrong setting and ends with 2")
+TEST_CASE("porttiller reports every invalid setting and exits with 2")
 {
   const auto file = WriteFile(R"({"box": "a", "colour": 1,
     "callers": {"threads": 0}, "platform_address": "x"})");
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_CASE("porttiller --check and --print-config open nothing")
+TEST_CASE("porttiller --check and --print-config exit without a connection")
 {
   const auto file = WriteFile(
     R"({"box": "a", "zone": "z", "platform_address": "127.0.0.1:1"})");
@@ -96,7 +96,7 @@
   CHECK(RunProgram(PORTTILLER_DAEMON, {}).mExitCode == 2);
 }
 
-TEST_CASE("porttiller says plainly that an address is taken and ends")
+TEST_CASE("porttiller reports an address that is in use and exits")
 {
   const standin::HttpStandIn taken("127.0.0.1:0", {});
   const auto file = WriteFile(
@@ -126,7 +126,7 @@
   CHECK(ctl({ "get", "Service", "ledger" }).mExitCode == 6);
 }
 
-TEST_CASE("porttillerctl shows the start of a server, and unreadable records")
+TEST_CASE("porttillerctl shows server start times and unreadable records")
 {
   const Ctl ctl;
   ctl.Apply(kService);
@@ -153,7 +153,7 @@
   CHECK(ctl.mPlatform.Writes() == 0);
 }
 
-TEST_CASE("porttillerctl tells an outage and a lost answer apart")
+TEST_CASE("porttillerctl distinguishes an outage from a lost answer")
 {
   const Ctl ctl;
   ctl.mPlatform.LoseWriteAnswers(1);
@@ -163,7 +163,7 @@
   CHECK(ctl.Apply(kService).mExitCode == 3);
 }
 
-TEST_CASE("Of two operators who race one is told of the conflict")
+TEST_CASE("One of two concurrent writes by operators reports a conflict")
 {
   const Ctl ctl;
   const auto version = ctl.mPlatform.Put({ "Service", "ledger" }, "{}");
@@ -183,7 +183,7 @@
         std::string("{\"floor_slots\":") + winner + "}");
 }
 
-TEST_CASE("porttillerctl watch follows changes as they happen")
+TEST_CASE("porttillerctl watch prints changes as they happen")
 {
   const Ctl ctl;
   std::thread writer([&] {
@@ -198,7 +198,7 @@
   CHECK(result.mText.find("new-route") != std::string::npos);
 }
 
-TEST_CASE("porttillerctl shows how many keys a workspace has, and none of them")
+TEST_CASE("porttillerctl shows the number of API keys, but not the keys")
 {
   const Ctl ctl;
   CHECK(ctl
--- a/testing/fleet/tests/ConfigFaultsTest.cpp
+++ b/testing/fleet/tests/ConfigFaultsTest.cpp
@@ -1,5 +1,5 @@
-// Faults of a configuration change: the platform away, slow or losing
-// answers, boxes that restart, objects that are wrong.
+// Configuration changes under faults: the platform is unavailable, slow or
+// loses answers, boxes restart, objects are invalid.
 #include "fleet/Fleet.h"
 #include "porttiller/config/JsonText.h"
 
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr int kPortBase = 22300;
-constexpr Millis kLong{ 20'000 };
+constexpr Millis kWait{ 20'000 };
 
-// Five boxes in one zone: three of them watch, two learn from peers.
+// Five boxes in one zone: three watch the store, two learn from peers.
 FleetOptions
 Options()
 {
@@ -26,9 +26,9 @@
 }
 
 bool
-WaitAll(Fleet& aFleet, std::uint64_t aRevision)
+WaitForRevision(Fleet& aFleet, std::uint64_t aRevision)
 {
-  return WaitUntil(kLong, [&] {
+  return WaitUntil(kWait, [&] {
     for (int box = 0; box < 5; ++box) {
       if (aFleet.Revision(box) < aRevision) {
         return false;
@@ -46,7 +46,8 @@
 
 } // namespace
 
-TEST_CASE("A change is in force on every box, watchers or not")
+TEST_CASE(
+  "A change takes effect on every box, whether it watches the store or not")
 {
   Fleet fleet(Options());
   int watchers = 0;
@@ -55,9 +56,9 @@
       fleet.State(box).find("\"watcher\":true") != std::string::npos ? 1 : 0;
   }
   CHECK(watchers == 3);
-  CHECK(WaitAll(fleet, PutService(fleet, R"({"floor_slots": 1})")));
+  CHECK(WaitForRevision(fleet, PutService(fleet, R"({"floor_slots": 1})")));
   fleet.Platform().Remove({ "Route", "all" });
-  REQUIRE(WaitUntil(kLong, [&] {
+  REQUIRE(WaitUntil(kWait, [&] {
     for (int box = 0; box < 5; ++box) {
       if (fleet.Send(box, "GET", "/x", "").mStatus != 404) {
         return false;
@@ -67,7 +68,7 @@
   }));
 }
 
-TEST_CASE("A change after a write of another kind is in force")
+TEST_CASE("A change that follows a write of an unrelated kind takes effect")
 {
   Fleet fleet(Options());
   const auto other = fleet.Platform().Put({ "Note", "other" }, "{}");
@@ -80,31 +81,32 @@
     }
     return true;
   };
-  REQUIRE(WaitUntil(kLong, [&] {
+  REQUIRE(WaitUntil(kWait, [&] {
     return watchers([&](const auto& aState) {
       return aState->template optValue<std::uint64_t>("store_cursor", 0) >=
              other;
     });
   }));
-  CHECK(WaitAll(fleet, PutService(fleet, R"({"floor_slots": 1})")));
+  CHECK(WaitForRevision(fleet, PutService(fleet, R"({"floor_slots": 1})")));
 }
 
-TEST_CASE("Announcements spread a change without waiting for probes")
+TEST_CASE("Announcements propagate a change without waiting for probes")
 {
-  // Found by tools/measure capacity: changes came by probes alone, 1 to 3 s.
+  // Guards against changes that propagate only with probes, which takes 1 to
+  // 3 s.
   auto options = Options();
   options.mExtraSettings = R"(, "timing": { "probe_interval_ms": 60000 })";
   Fleet fleet(options);
   for (int i = 1; i <= 3; ++i) {
-    CHECK(WaitAll(
+    CHECK(WaitForRevision(
       fleet,
       PutService(fleet, "{\"floor_slots\": " + std::to_string(i) + "}")));
   }
 }
 
-TEST_CASE("Changes are in force after all open connections have gone silent")
+TEST_CASE("Changes take effect after all open connections stop carrying data")
 {
-  // No probes: what brings the change is announced.
+  // Rules out probes, so that only announcements propagate the change.
   auto options = Options();
   options.mLinks = true;
   options.mExtraSettings = R"(, "timing": { "probe_interval_ms": 60000 })";
@@ -112,35 +114,35 @@
   for (int i = 1; i <= 3; ++i) {
     fleet.SilencePlatformLinks();
     fleet.SilenceBoxLinks();
-    CHECK(WaitAll(
+    CHECK(WaitForRevision(
       fleet,
       PutService(fleet, "{\"floor_slots\": " + std::to_string(i) + "}")));
     CHECK(fleet.Send(0, "GET", "/x", "").mStatus == 200);
   }
 }
 
-TEST_CASE("Traffic flows and boxes restart while the platform is away")
+TEST_CASE("Boxes serve and restart while the platform is unavailable")
 {
   Fleet fleet(Options());
   const auto revision = PutService(fleet, R"({"floor_slots": 2})");
-  REQUIRE(WaitAll(fleet, revision));
+  REQUIRE(WaitForRevision(fleet, revision));
   fleet.Platform().SetDown(true);
   CHECK(fleet.Send(0, "GET", "/x", "").mStatus == 200);
-  for (int box = 0; box < 5; ++box) { // each in turn, peers alive
+  for (int box = 0; box < 5; ++box) { // one at a time, while its peers run
     fleet.SignalBox(box, SIGKILL);
     fleet.StartBox(box);
-    REQUIRE(WaitUntil(kLong, [&] { return fleet.Revision(box) >= revision; }));
+    REQUIRE(WaitUntil(kWait, [&] { return fleet.Revision(box) >= revision; }));
     CHECK(fleet.Send(box, "GET", "/x", "").mStatus == 200);
   }
   fleet.Platform().SetDown(false);
-  CHECK(WaitAll(fleet, PutService(fleet, R"({"floor_slots": 3})")));
+  CHECK(WaitForRevision(fleet, PutService(fleet, R"({"floor_slots": 3})")));
 }
 
 TEST_CASE("No box ever goes back to an older configuration")
 {
   Fleet fleet(Options());
   std::vector<std::uint64_t> seen(5, 0);
-  const auto look = [&] {
+  const auto checkRevisions = [&] {
     for (int box = 0; box < 5; ++box) {
       const auto revision = fleet.Revision(box);
       CHECK(revision >= seen[static_cast<std::size_t>(box)]);
@@ -169,28 +171,29 @@
         break;
     }
     last = PutService(fleet, "{\"floor_slots\": " + std::to_string(i) + "}");
-    if (i % 6 != 2 && i % 6 != 3) { // a frozen box shows nothing
-      look();
+    if (i % 6 != 2 && i % 6 != 3) { // a stopped process does not answer
+      checkRevisions();
     }
   }
-  CHECK(WaitAll(fleet, last));
-  look();
+  CHECK(WaitForRevision(fleet, last));
+  checkRevisions();
 }
 
-TEST_CASE("A wrong object is rejected by name and the last good one stays")
+TEST_CASE(
+  "An invalid object is rejected by name and the last valid one stays in use")
 {
   Fleet fleet(Options());
   const auto bad = PutService(fleet, R"({"floor_slots": "many"})");
-  REQUIRE(WaitAll(fleet, bad));
+  REQUIRE(WaitForRevision(fleet, bad));
   CHECK(fleet.Send(0, "GET", "/x", "").mStatus == 200);
   const auto status = [&] {
     return fleet.Platform().SpecOf({ "FleetStatus", "fleet" });
   };
-  CHECK(WaitUntil(kLong, [&] {
+  CHECK(WaitUntil(kWait, [&] {
     return status().find("spec.floor_slots") != std::string::npos;
   }));
   const auto good = PutService(fleet, R"({"floor_slots": 4})");
-  CHECK(WaitUntil(kLong, [&] {
+  CHECK(WaitUntil(kWait, [&] {
     const auto json = ParseJsonObject(status());
     return json &&
            (*json)->getValue<std::uint64_t>("accepted_revision") >= good &&
@@ -199,7 +202,8 @@
   }));
 }
 
-TEST_CASE("A box that starts first, before platform and peers, serves later")
+TEST_CASE(
+  "A box that starts without platform and peers serves once the platform is up")
 {
   Fleet fleet(Options());
   fleet.Platform().SetDown(true);
@@ -207,12 +211,12 @@
     fleet.SignalBox(box, SIGKILL);
   }
   fleet.StartBox(0);
-  REQUIRE(standin::WaitForListener(fleet.CallerAddress(0), kLong));
+  REQUIRE(standin::WaitForListener(fleet.CallerAddress(0), kWait));
   const auto early = fleet.Send(0, "GET", "/x", "");
   CHECK(early.mStatus == 503);
   CHECK(early.mOutcome == "not-run");
   CHECK_FALSE(HeaderValue(early.mHeaders, "Retry-After").empty());
   fleet.Platform().SetDown(false);
   CHECK(WaitUntil(
-    kLong, [&] { return fleet.Send(0, "GET", "/x", "").mStatus == 200; }));
+    kWait, [&] { return fleet.Send(0, "GET", "/x", "").mStatus == 200; }));
 }
--- a/testing/fleet/tests/DirectoryStartTest.cpp
+++ b/testing/fleet/tests/DirectoryStartTest.cpp
@@ -1,4 +1,4 @@
-// How a box that starts again learns of its own server and of the others.
+// How a restarted box learns of its own server and of other boxes.
 #include "fleet/Fleet.h"
 #include "porttiller/control/ControlCodec.h"
 #include "porttiller/control/DirectoryController.h"
@@ -35,8 +35,8 @@
              .mSequence = 1 } };
 }
 
-// The records last published.
-class Published
+// The most recently published records.
+class PublishedRecords
 {
 public:
   void Set(std::vector<BoxRecord> aRecords)
@@ -61,11 +61,12 @@
 
 } // namespace
 
-TEST_CASE("A box takes its server in again though peers told it all the rest")
+TEST_CASE("A restarted box uses its server when peers sent all other records")
 {
-  // Found by a fleet test that failed once in twelve runs: the list from the
-  // store brought nothing new, so what the box had read of its own server was
-  // not published, and its home refused every request for it.
+  // Guards against an unpublished own record: when the list from the store adds
+  // nothing to what peers have sent, the box must still publish what it has
+  // read about its own server, or its home rejects every request for that
+  // server.
   standin::ObjectStoreStandIn store(kStore);
   const auto other = MakeRecord("other", "127.0.0.1:22972");
   store.Put({ "box-records", "own" },
@@ -79,7 +80,7 @@
     PeerTransport::Make({ .mBindAddress = kControl, .mBox = settings.mBox },
                         [](const wire::Envelope&, const PeerReplier&) {});
   REQUIRE(transport);
-  Published published;
+  PublishedRecords published;
   DirectoryController controller(
     settings,
     Incarnation(2),
@@ -98,13 +99,14 @@
   controller.Start();
   CHECK(WaitUntil(kWait, [&] { return published.HasServerOf("own"); }));
   controller.Stop();
-  transport->reset(); // as in a node: nothing calls back later
+  transport->reset(); // no callbacks after this, as in a node
 }
 
-TEST_CASE("A box that peers have told of others reads no list from the store")
+TEST_CASE("A box that received records from peers reads no list from the store")
 {
-  // At 353 boxes each read the whole list at the start: of 1,971 calls of a
-  // calm day, 1,229 came in its first second.
+  // Guards against a burst of store calls at start: when each of 353 boxes
+  // reads the whole list, 1,229 of the 1,971 calls of a day without faults fall
+  // into its first second.
   standin::ObjectStoreStandIn store(kStore);
   Settings settings;
   settings.mBox = BoxName("own");
@@ -115,7 +117,7 @@
     PeerTransport::Make({ .mBindAddress = kControl, .mBox = settings.mBox },
                         [](const wire::Envelope&, const PeerReplier&) {});
   REQUIRE(transport);
-  std::atomic<int> told{ 0 };
+  std::atomic<int> forwards{ 0 };
   DirectoryController controller(
     settings,
     Incarnation(2),
@@ -125,15 +127,16 @@
       .mRandomPeers = [](std::size_t) { return std::vector<BoxSpec>{}; },
       .mSpreadPeers =
         [&](const SpreadOptions&) {
-          ++told;
+          ++forwards;
           return std::vector<BoxSpec>{};
         } });
   controller.OnRecords(EncodeRecords({ MakeRecord("other", "127.0.0.1:9") }));
   controller.Start();
-  // Onwards what the peer told, and its own record once it has loaded.
-  CHECK(WaitUntil(kWait, [&] { return told >= 2; }));
+  // It forwards the records of the peer, and its own record once that is
+  // loaded.
+  CHECK(WaitUntil(kWait, [&] { return forwards >= 2; }));
   CHECK(store.Count("box-records") == 1);
   CHECK(store.Calls() == 1);
   controller.Stop();
-  transport->reset(); // as in a node: nothing calls back later
+  transport->reset(); // no callbacks after this, as in a node
 }
--- a/testing/fleet/tests/EjectionFaultsTest.cpp
+++ b/testing/fleet/tests/EjectionFaultsTest.cpp
@@ -1,5 +1,5 @@
-// Faults of servers and of what an ejection needs: who is set aside, who is
-// not, and whether the floor holds.
+// Failures of servers and of what an ejection depends on: which servers are
+// ejected, which are not, and whether the floor holds.
 #include "fleet/Traffic.h"
 #include "standin/LinkStandIn.h"
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kPortBase = 22200;
-constexpr Millis kLong{ 20'000 };
+constexpr Millis kWait{ 20'000 };
 const ObjectKey kLedger{ "EjectionLedger", "ledger" };
 
 // Box 0 is the entry; three boxes with one server of 6 slots each.
@@ -29,11 +29,11 @@
            .mExtraSettings = R"(, "timing": { "probe_interval_ms": 200 })" };
 }
 
-// Reads that go on until it is destroyed.
-class Reads
+// Sends repeatable requests in the background until it is destroyed.
+class BackgroundReads
 {
 public:
-  explicit Reads(Fleet& aFleet, const char* aMethod = "GET")
+  explicit BackgroundReads(Fleet& aFleet, const char* aMethod = "GET")
   {
     for (int i = 0; i < 4; ++i) {
       mThreads.emplace_back([this, &aFleet, aMethod] {
@@ -46,7 +46,7 @@
     }
   }
 
-  ~Reads()
+  ~BackgroundReads()
   {
     mStop = true;
     for (auto& thread : mThreads) {
@@ -71,43 +71,45 @@
 bool
 WaitPhase(Fleet& aFleet, int aServer, const std::string& aPhase)
 {
-  return WaitUntil(kLong, [&] { return aFleet.Phase(aServer) == aPhase; });
+  return WaitUntil(kWait, [&] { return aFleet.Phase(aServer) == aPhase; });
 }
 
-// Requests that a server runs in a while.
+// The number of requests that a server starts within a period.
 std::uint64_t
-RunsWithin(Fleet& aFleet, int aServer, Millis aTime)
+RunsWithin(Fleet& aFleet, int aServer, Millis aPeriod)
 {
   const auto before = aFleet.Server(aServer).Runs();
-  std::this_thread::sleep_for(aTime);
+  std::this_thread::sleep_for(aPeriod);
   return aFleet.Server(aServer).Runs() - before;
 }
 
 } // namespace
 
-TEST_CASE("A failing server is ejected, and comes back once it is well")
+TEST_CASE("A failing server is ejected and returns to use once it recovers")
 {
   Fleet fleet(Options(12));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "ejected"));
   CHECK(LedgerHas(fleet, 0));
-  // While ejected it has no work; the phase tells when that is sure.
+  // An ejected server gets no requests, except one that was already on its way.
+  // The check applies only if the server is still ejected after the period.
   const auto runs = RunsWithin(fleet, 0, Millis(300));
   if (fleet.Phase(0) == "ejected") {
     CHECK(runs <= 1);
   }
   fleet.Server(0).Set({});
-  REQUIRE(WaitUntil(kLong, [&] { return !LedgerHas(fleet, 0); }));
+  REQUIRE(WaitUntil(kWait, [&] { return !LedgerHas(fleet, 0); }));
   CHECK(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 0, Millis(100)) > 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(100)) > 0; }));
 }
 
 TEST_CASE("The floor holds: a second failing server is only demoted")
 {
   Fleet fleet(Options(12));
-  const Reads reads(fleet);
-  // One after the other, so that the second is no common cause.
+  const BackgroundReads reads(fleet);
+  // The failures begin one after the other, so that they are not taken for a
+  // common cause.
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "ejected"));
   fleet.Server(1).Set({ .mFailPercent = 60 });
@@ -121,85 +123,87 @@
   }
 }
 
-TEST_CASE("A server that the floor keeps is demoted and its work moves")
+TEST_CASE("A failing server that the floor keeps in use is demoted")
 {
   Fleet fleet(Options(18));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "demoted"));
-  REQUIRE(WaitUntil(kLong, [&] {
+  REQUIRE(WaitUntil(kWait, [&] {
     return fleet.Metric(1, "porttiller_floor_refusals_total") > 0;
   }));
   CHECK_FALSE(LedgerHas(fleet, 0));
 }
 
-TEST_CASE("While the platform is away a failing server is demoted")
+TEST_CASE("A failing server is demoted while the platform is unavailable")
 {
   Fleet fleet(Options(12));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   fleet.Platform().SetDown(true);
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "demoted"));
   CHECK_FALSE(LedgerHas(fleet, 0));
   fleet.Platform().SetDown(false);
-  CHECK(WaitUntil(kLong, [&] { return LedgerHas(fleet, 0); }));
+  CHECK(WaitUntil(kWait, [&] { return LedgerHas(fleet, 0); }));
 }
 
-TEST_CASE("Ejections and releases whose answers are lost are settled")
+TEST_CASE("Ejection and release complete although the answers are lost")
 {
   Fleet fleet(Options(12));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   fleet.Platform().LoseWriteAnswers(1);
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "ejected"));
   CHECK(LedgerHas(fleet, 0));
   fleet.Platform().LoseWriteAnswers(1);
   fleet.Server(0).Set({});
-  CHECK(WaitUntil(kLong, [&] {
+  CHECK(WaitUntil(kWait, [&] {
     return !LedgerHas(fleet, 0) &&
            (fleet.Phase(0) == "ramping" || fleet.Phase(0) == "healthy");
   }));
 }
 
-TEST_CASE("A fault common to the whole service sets nobody aside")
+TEST_CASE("A fault common to the whole service does not eject its servers")
 {
   Fleet fleet(Options(6));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   for (int server = 0; server < 3; ++server) {
     fleet.Server(server).Set({ .mFailPercent = 60 });
   }
   REQUIRE(WaitPhase(fleet, 0, "asking"));
-  int aside = 0;
+  int ejected = 0;
   for (int i = 0; i < 20; ++i) {
     for (int server = 0; server < 3; ++server) {
       const auto phase = fleet.Phase(server);
-      aside += phase == "ejected" ? 1 : 0;
+      ejected += phase == "ejected" ? 1 : 0;
     }
     std::this_thread::sleep_for(Millis(50));
   }
-  // One may be quicker to its alarm than the others; never two of three.
-  CHECK(aside <= 20);
+  // One server may raise its alarm before the others do and be ejected, but not
+  // two of three: at most one in each of the 20 samples on average.
+  CHECK(ejected <= 20);
   CHECK(reads.mAnswered > 0);
 }
 
-TEST_CASE("A home killed while its server is ejected clears its old entry")
+TEST_CASE("A home killed while its server is ejected removes its ledger entry")
 {
   Fleet fleet(Options(12));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "ejected"));
   fleet.SignalBox(1, SIGKILL);
   fleet.Server(0).Set({});
   CHECK(LedgerHas(fleet, 0));
   fleet.StartBox(1);
-  CHECK(WaitUntil(kLong, [&] { return !LedgerHas(fleet, 0); }));
+  CHECK(WaitUntil(kWait, [&] { return !LedgerHas(fleet, 0); }));
 }
 
-TEST_CASE("An ejected server that is reconfigured leaves no entry behind")
+TEST_CASE("An ejected server that is reconfigured leaves no ledger entry")
 {
-  // Found in reading: the new LocalServer held no permission to give back.
+  // Guards against a new LocalServer that does not know the permission of its
+  // predecessor and therefore never returns it.
   Fleet fleet(Options(12));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   fleet.Server(0).Set({ .mFailPercent = 60 });
   REQUIRE(WaitPhase(fleet, 0, "ejected"));
   fleet.Server(0).Set({});
@@ -207,50 +211,51 @@
             Fleet::ServerName(0),
             R"({"service":"ledger","box":"box-1","slots":7,"address":")" +
               fleet.ServerAddress(0) + "\"}");
-  CHECK(WaitUntil(kLong, [&] { return !LedgerHas(fleet, 0); }));
+  CHECK(WaitUntil(kWait, [&] { return !LedgerHas(fleet, 0); }));
 }
 
-TEST_CASE("A cut path is avoided and not held against the server")
+TEST_CASE("A cut network path is avoided without a penalty for the server")
 {
   Fleet fleet(Options(12));
   standin::LinkStandIn homeLink(fleet.HomeAddress(1));
   standin::LinkStandIn controlLink(fleet.ControlAddress(1));
   fleet.PutBox(1, homeLink.Address(), controlLink.Address());
   for (int box = 0; box < 4; ++box) {
-    REQUIRE(fleet.WaitInForce(box, kLong));
+    REQUIRE(fleet.WaitInForce(box, kWait));
   }
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   REQUIRE(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 0, Millis(50)) > 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(50)) > 0; }));
   homeLink.CutForward(true);
   controlLink.CutForward(true);
   REQUIRE(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 0, Millis(300)) == 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(300)) == 0; }));
   const int before = reads.mAnswered;
-  CHECK(WaitUntil(kLong, [&] { return reads.mAnswered > before + 50; }));
+  CHECK(WaitUntil(kWait, [&] { return reads.mAnswered > before + 50; }));
   CHECK(fleet.Phase(0) != "ejected");
   CHECK(fleet.Phase(0) != "demoted");
   homeLink.CutForward(false);
   controlLink.CutForward(false);
   CHECK(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 0, Millis(100)) > 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(100)) > 0; }));
 }
 
-TEST_CASE("A leaving box, server or server's own word ends new work")
+TEST_CASE(
+  "A leaving box, a removed server and a draining server get no new requests")
 {
   Fleet fleet(Options(6));
-  const Reads reads(fleet);
+  const BackgroundReads reads(fleet);
   REQUIRE(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 0, Millis(50)) > 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(50)) > 0; }));
   fleet.PutBox(1, fleet.HomeAddress(1), fleet.ControlAddress(1), "leaving");
   CHECK(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 0, Millis(300)) == 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(300)) == 0; }));
   fleet.Platform().Remove({ "BackendServer", Fleet::ServerName(1) });
   CHECK(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 1, Millis(300)) == 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 1, Millis(300)) == 0; }));
   const int before = reads.mAnswered;
   fleet.Server(2).Set({ .mDraining = true });
   CHECK(
-    WaitUntil(kLong, [&] { return RunsWithin(fleet, 2, Millis(300)) == 0; }));
+    WaitUntil(kWait, [&] { return RunsWithin(fleet, 2, Millis(300)) == 0; }));
   CHECK(reads.mAnswered >= before);
 }
--- a/testing/fleet/tests/EntryFaultsTest.cpp
+++ b/testing/fleet/tests/EntryFaultsTest.cpp
@@ -1,5 +1,5 @@
-// Faults of the entry role and of both roles together: planned stops, kills
-// and what a caller can do after an unknown outcome.
+// Faults of the entry role and of both roles together: graceful shutdowns,
+// kills, and retries by a caller after an unknown outcome.
 #include "fleet/Traffic.h"
 #include "porttiller/hop/HopHeaders.h"
 #include "standin/LinkStandIn.h"
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("A planned stop of the entry cuts no request in flight")
+TEST_CASE("A graceful shutdown of the entry aborts no request in flight")
 {
   Fleet fleet(Options());
   fleet.Server(0).Set({ .mServiceMs = 200 });
@@ -38,21 +38,21 @@
   const TrafficOptions options{ .mRequests = 10,
                                 .mThreads = 10,
                                 .mDeadline = Millis(5000) };
-  std::vector<Record> records;
+  std::vector<RequestRecord> records;
   std::thread traffic([&] { records = SendTraffic(fleet, options); });
   REQUIRE(WaitUntil(Millis(5000), [&] {
     return fleet.Server(0).Runs() + fleet.Server(1).Runs() >= 5;
   }));
   fleet.SignalBox(0, SIGTERM);
   traffic.join();
-  const auto verdict = Judge(fleet, records, options);
-  MESSAGE(ToText(verdict));
-  CHECK(verdict.mRun == options.mRequests);
-  CHECK(verdict.mBroken.empty());
+  const auto summary = CheckTraffic(fleet, records, options);
+  MESSAGE(ToText(summary));
+  CHECK(summary.mRun == options.mRequests);
+  CHECK(summary.mViolations.empty());
   CHECK(fleet.WaitForBoxExit(0, Millis(10'000)) == 0);
 }
 
-TEST_CASE("A planned stop of a home cuts no request in flight")
+TEST_CASE("A graceful shutdown of a home aborts no request in flight")
 {
   Fleet fleet(Options());
   fleet.Server(0).Set({ .mServiceMs = 100 });
@@ -60,19 +60,19 @@
   const TrafficOptions options{ .mRequests = 60,
                                 .mThreads = 8,
                                 .mDeadline = Millis(5000) };
-  std::vector<Record> records;
+  std::vector<RequestRecord> records;
   std::thread traffic([&] { records = SendTraffic(fleet, options); });
   REQUIRE(WaitUntil(Millis(5000), [&] { return fleet.Server(0).Runs() >= 3; }));
   fleet.SignalBox(1, SIGTERM);
   traffic.join();
-  const auto verdict = Judge(fleet, records, options);
-  MESSAGE(ToText(verdict));
-  CHECK(verdict.mRun == options.mRequests);
-  CHECK(verdict.mBroken.empty());
+  const auto summary = CheckTraffic(fleet, records, options);
+  MESSAGE(ToText(summary));
+  CHECK(summary.mRun == options.mRequests);
+  CHECK(summary.mViolations.empty());
   CHECK(fleet.WaitForBoxExit(1, Millis(10'000)) == 0);
 }
 
-TEST_CASE("A request that outlasts a planned stop gets an honest unknown")
+TEST_CASE("A request that outlasts a graceful shutdown is reported as unknown")
 {
   Fleet fleet(Options(", \"drain_ms\": 600"));
   fleet.Server(0).Set({ .mServiceMs = 4000 });
@@ -80,43 +80,43 @@
   const TrafficOptions options{ .mRequests = 2,
                                 .mThreads = 2,
                                 .mDeadline = Millis(8000) };
-  std::vector<Record> records;
+  std::vector<RequestRecord> records;
   std::thread traffic([&] { records = SendTraffic(fleet, options); });
   REQUIRE(WaitUntil(Millis(5000), [&] {
     return fleet.Server(0).Runs() + fleet.Server(1).Runs() >= 2;
   }));
   fleet.SignalBox(0, SIGTERM);
   traffic.join();
-  const auto verdict = Judge(fleet, records, options);
-  MESSAGE(ToText(verdict));
-  CHECK(verdict.mUnknown == 2);
-  CHECK(verdict.mBroken.empty());
+  const auto summary = CheckTraffic(fleet, records, options);
+  MESSAGE(ToText(summary));
+  CHECK(summary.mUnknown == 2);
+  CHECK(summary.mViolations.empty());
 }
 
-TEST_CASE("A killed entry leaves no request that ran twice")
+TEST_CASE("No request runs twice when an entry is killed")
 {
   Fleet fleet(Options());
   fleet.Server(0).Set({ .mServiceMs = 50 });
   fleet.Server(1).Set({ .mServiceMs = 50 });
   TrafficOptions options{ .mRequests = 60, .mEntries = { 0, 1, 2 } };
-  std::vector<Record> records;
+  std::vector<RequestRecord> records;
   std::thread traffic([&] { records = SendTraffic(fleet, options); });
   REQUIRE(WaitUntil(Millis(5000), [&] { return fleet.Server(0).Runs() >= 3; }));
   fleet.SignalBox(0, SIGKILL);
   traffic.join();
-  const auto verdict = Judge(fleet, records, options);
-  MESSAGE(ToText(verdict));
-  CHECK(verdict.mBroken.empty());
+  const auto summary = CheckTraffic(fleet, records, options);
+  MESSAGE(ToText(summary));
+  CHECK(summary.mViolations.empty());
 }
 
-TEST_CASE("A caller that was told unknown can ask again and is told the rest")
+TEST_CASE("A caller that retries after an unknown outcome receives the result")
 {
   Fleet fleet(Options(", \"attempt_patience_ms\": 100"));
   standin::LinkStandIn homeLink(fleet.HomeAddress(1));
   fleet.PutBox(1, homeLink.Address(), fleet.ControlAddress(1));
   fleet.PutBox(2, fleet.HomeAddress(2), fleet.ControlAddress(2), "leaving");
   REQUIRE(fleet.WaitInForce(0, Millis(10'000)));
-  REQUIRE(fleet.WaitUsed(0, 0, Millis(10'000)));
+  REQUIRE(fleet.WaitUntilUsed(0, 0, Millis(10'000)));
   fleet.Server(0).Set({ .mServiceMs = 700 });
   const HttpHeaders key = { { "X-Request-Id", "purchase" },
                             { hop::kRequestKey, "k1" },
@@ -138,7 +138,8 @@
   CHECK(reply.mBody ==
         standin::EchoOf(Fleet::ServerName(0), "purchase", "100 units"));
   CHECK(fleet.RunsOf("purchase") == 1);
-  // Another key is another caller: it must not see the answer.
+  // A different request key means a different caller, which must not see the
+  // answer.
   auto stranger = again;
   stranger[1].mValue = "k2";
   const auto other = fleet.Send(0, "POST", "/purchases", "100 units", stranger);
@@ -149,7 +150,7 @@
 
 TEST_CASE("An entry learns the load that homes report")
 {
-  // Found in reading: homes reported it and no entry took it in.
+  // Guards against entries that ignore the load reports of homes.
   Fleet fleet(Options());
   fleet.Server(0).Set({ .mServiceMs = 50 });
   fleet.Server(1).Set({ .mServiceMs = 50 });
@@ -164,7 +165,7 @@
   bool learned = false;
   while (!done && !learned) {
     const auto state = fleet.State(0);
-    for (int part = 1; part <= 6; ++part) { // of 6 slots
+    for (int part = 1; part <= 6; ++part) { // load in sixths, for 6 slots
       const auto load = std::to_string(part / 6.0).substr(0, 4);
       learned = learned || state.find("load=" + load) != std::string::npos;
     }
--- a/testing/fleet/tests/MeshFleetTest.cpp
+++ b/testing/fleet/tests/MeshFleetTest.cpp
@@ -1,5 +1,5 @@
-// The whole path as on the users' machines: servers that tell about
-// themselves, one document, and what must hold when parts of it fail.
+// The whole path of a request in the mesh dialect: servers that register with
+// heartbeats, one configuration document, and the guarantees when parts fail.
 #include "fleet/MeshFleet.h"
 
 #include <Poco/Net/StreamSocket.h>
@@ -16,7 +16,8 @@
 
 } // namespace
 
-TEST_CASE("A request runs at the server it was meant for and comes back whole")
+TEST_CASE(
+  "A request runs once and its complete, signed answer reaches the caller")
 {
   MeshFleet fleet(3, kPortBase);
   for (int i = 0; i < 12; ++i) {
@@ -38,7 +39,7 @@
 }
 
 TEST_CASE(
-  "After its ack a draining server gets nothing, also after its box died")
+  "A draining server gets no request after its ack, even if its box dies")
 {
   MeshFleet fleet(3, kPortBase);
   REQUIRE(fleet.Server(0).Beat("draining"));
@@ -56,13 +57,14 @@
   fleet.SignalBox(0, SIGKILL);
   fleet.WaitForBoxExit(0, kWait);
   fleet.StartBox(0);
-  // A late heartbeat from before must not revive it in the next life.
+  // A late heartbeat from before the drain must not bring the server back into
+  // use in the box's next incarnation.
   REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(0).BeatLate(); }));
   REQUIRE(fleet.WaitServers(2));
   check("b-");
 }
 
-TEST_CASE("While the store is away a draining server is kept by peers")
+TEST_CASE("Peers retain that a server drains while the store is unavailable")
 {
   MeshFleet fleet(3, kPortBase);
   fleet.Store().SetDown(true);
@@ -75,10 +77,10 @@
   }));
 }
 
-TEST_CASE("A box that starts while the store is away takes its server in")
+TEST_CASE("A box that starts while the store is unavailable uses its server")
 {
-  // Found on the users' days: until the store was back such a box served
-  // nothing, and its server's heartbeats got no acknowledgement.
+  // Guards against a box that serves nothing and does not acknowledge its
+  // server's heartbeats until the store is available again.
   MeshFleet fleet(3, kPortBase);
   fleet.Store().SetDown(true);
   fleet.SignalBox(2, SIGKILL);
@@ -90,7 +92,7 @@
   CHECK(fleet.Send(2, "POST", "/once/x", "away").mStatus == 200);
 }
 
-TEST_CASE("A lost answer of the store does not keep a record from being kept")
+TEST_CASE("A record is stored although the answer of the store is lost")
 {
   MeshFleet fleet(2, kPortBase);
   fleet.Store().LoseWriteAnswers(1);
@@ -98,8 +100,7 @@
   CHECK(fleet.WaitServers(1));
 }
 
-TEST_CASE(
-  "A change is in force on every box, and stays while the store is away")
+TEST_CASE("A change takes effect on every box and stays without the store")
 {
   MeshFleet fleet(3, kPortBase);
   fleet.Store().ForgetHistory();
@@ -113,7 +114,8 @@
   fleet.SignalBox(2, SIGKILL);
   fleet.WaitForBoxExit(2, kWait);
   fleet.StartBox(2);
-  // It learns from its seed: neither a 404 nor an older configuration.
+  // It learns the configuration from its seed and never answers 404, as it
+  // would with an older one.
   CHECK(WaitUntil(kWait, [&] {
     const auto status = fleet.Send(2, "GET", "/extra/x", "e2").mStatus;
     CHECK(status != 404);
@@ -121,7 +123,7 @@
   }));
 }
 
-TEST_CASE("All boxes killed at once serve again from what the store kept")
+TEST_CASE("All boxes serve again from the store after being killed at once")
 {
   MeshFleet fleet(3, kPortBase);
   for (int box = 0; box < 3; ++box) {
@@ -139,7 +141,7 @@
   }
 }
 
-TEST_CASE("A caller that hangs up ends the work at the server")
+TEST_CASE("A caller that disconnects cancels the work at the server")
 {
   MeshFleet fleet(2, kPortBase);
   for (int box = 0; box < 2; ++box) {
@@ -159,8 +161,7 @@
   }));
 }
 
-TEST_CASE(
-  "What a server did not sign, or made for another request, is no answer")
+TEST_CASE("An answer that is unsigned or for another request is not delivered")
 {
   MeshFleet fleet(2, kPortBase);
   for (int box = 0; box < 2; ++box) {
@@ -177,7 +178,8 @@
   CHECK(fleet.RunsOf("f") == 1);
 }
 
-TEST_CASE("A server that is full sends a request elsewhere, or back as not run")
+TEST_CASE("A request that a full server rejects runs elsewhere or is reported "
+          "as not run")
 {
   MeshFleet fleet(2, kPortBase);
   fleet.Server(0).Set({ .mFull = true });
@@ -186,16 +188,17 @@
           200);
   }
   fleet.Server(1).Set({ .mFull = true });
-  const auto refused = fleet.Send(0, "POST", "/once/x", "none");
-  CHECK(refused.mStatus == 503);
-  CHECK_FALSE(HeaderValue(refused.mHeaders, "Retry-After").empty());
+  const auto rejected = fleet.Send(0, "POST", "/once/x", "none");
+  CHECK(rejected.mStatus == 503);
+  CHECK_FALSE(HeaderValue(rejected.mHeaders, "Retry-After").empty());
   CHECK(fleet.RunsOf("none") == 0);
 }
 
-TEST_CASE("A box that is stopped lets others use its server for a while longer")
+TEST_CASE("A stopping box lets others use its server during its drain notice")
 {
-  // Found on the grown fleets (FLOOR): with boxes stopped in turn, servers that
-  // ran on got nothing for the whole notice that only callers need.
+  // Guards against a drain notice during which a running server gets no
+  // requests: only callers need the notice. It matters when boxes are stopped
+  // in turn.
   MeshFleet fleet(2, kPortBase);
   fleet.Server(0).Set({ .mFull = true });
   fleet.SignalBox(1, SIGTERM);
@@ -209,7 +212,7 @@
   CHECK(fleet.RunsOf("gone") == 0);
 }
 
-TEST_CASE("SIGHUP reloads, and a broken settings file changes nothing")
+TEST_CASE("SIGHUP reloads the settings and the box keeps serving")
 {
   MeshFleet fleet(2, kPortBase);
   fleet.SignalBox(0, SIGHUP);
@@ -219,10 +222,10 @@
   CHECK(fleet.Send(0, "POST", "/once/x", "after").mStatus == 200);
 }
 
-TEST_CASE("A repeatable request at a server that hangs is answered by another")
+TEST_CASE("A repeatable request at a hung server is answered by another server")
 {
   MeshFleet fleet(3, kPortBase);
-  for (int i = 0; i < 12; ++i) { // how long requests take is known
+  for (int i = 0; i < 12; ++i) { // establishes the usual latency
     const auto id = "before-" + std::to_string(i);
     REQUIRE(fleet.Send(0, "GET", "/safe/x", id).mStatus == 200);
   }
@@ -234,14 +237,14 @@
     const auto id = "safe-" + std::to_string(i);
     CHECK(fleet.Send(0, "GET", "/safe/x", id).mStatus == 200);
   }
-  // Nobody waits there any more, so nothing runs on.
+  // The hung servers did receive some of the requests.
   const auto hung = [&] {
     return fleet.Server(1).Runs() + fleet.Server(2).Runs();
   };
   CHECK(hung() > 0);
 }
 
-TEST_CASE("A request with no other server is not given up before its time")
+TEST_CASE("A request without an alternative server is not abandoned early")
 {
   MeshFleet fleet(1, kPortBase);
   for (int i = 0; i < 12; ++i) {
@@ -253,7 +256,7 @@
   CHECK(fleet.Server(0).Cancelled() == 0);
 }
 
-TEST_CASE("A server that starts again under its id is used by all boxes")
+TEST_CASE("A server that restarts under its id is used by all boxes")
 {
   MeshFleet fleet({ .mBoxes = 3, .mPortBase = kPortBase, .mStartTimes = true });
   const auto runsAtServer = [&](const std::string& aPrefix) {
@@ -279,7 +282,7 @@
     REQUIRE(fleet.Server(0).Leave());
     REQUIRE(fleet.WaitServers(2));
   }
-  SUBCASE("while the store is away")
+  SUBCASE("while the store is unavailable")
   {
     REQUIRE(fleet.Server(0).Beat("draining"));
     REQUIRE(fleet.WaitServers(2));
@@ -289,7 +292,7 @@
   REQUIRE(fleet.Server(0).Beat());
   CHECK(fleet.WaitServers(3));
   CHECK(runsAtServer("first-"));
-  // Starts in a row.
+  // Two restarts in a row.
   fleet.RestartServer(0);
   REQUIRE(fleet.Server(0).Beat());
   fleet.RestartServer(0);
@@ -305,7 +308,8 @@
   CHECK(runsAtServer("third-"));
 }
 
-TEST_CASE("A late message of an earlier start does not close the later one")
+TEST_CASE(
+  "A late message of an earlier incarnation does not affect the current one")
 {
   MeshFleet fleet({ .mBoxes = 2, .mPortBase = kPortBase, .mStartTimes = true });
   const auto leaveOfFirst =
@@ -313,7 +317,8 @@
   fleet.RestartServer(0);
   REQUIRE(fleet.Server(0).Beat());
   CHECK(fleet.Server(0).Tell("instances.leave", leaveOfFirst));
-  // Without a start time: not of this server, and not acknowledged.
+  // A message without a start time is not from this server, and is not
+  // acknowledged.
   CHECK_FALSE(fleet.Server(0).Tell(
     "instances.heartbeat",
     R"({"Service":"ledger","Address":"127.0.0.1:9","Slots":4,)"
@@ -322,25 +327,26 @@
   CHECK(fleet.WaitServers(2));
 }
 
-TEST_CASE("Objects of another writer in the store hide no box and no server")
+TEST_CASE("Foreign objects in the store hide no box and no server")
 {
   MeshFleet fleet({ .mBoxes = 3, .mPortBase = kPortBase, .mStartTimes = true });
   auto& store = fleet.Store();
   const std::string recordOfBox1 = store.SpecOf({ "box-records", "box-1" });
-  // Before, between and behind the boxes' own names.
+  // Names that sort before, between and after those of the boxes.
   for (const char* name : { "a", "box-0~x", "box-1.5", "zz" }) {
     store.Put({ "box-records", name }, "7");
   }
   store.Put({ "box-records", "copy" }, recordOfBox1);
   store.Put({ "config", "a" }, R"("no document")");
   store.Put({ "config", "main" }, R"({"Routes":7})");
-  // A box's own name holds an object of another writer.
+  // A foreign object under the name of a box.
   store.Put({ "box-records", "box-2" }, R"({"state":"resting"})");
   for (int box = 0; box < 3; ++box) {
     fleet.SignalBox(box, SIGKILL);
     fleet.WaitForBoxExit(box, kWait);
   }
-  // All start from what the store holds, but for the configuration.
+  // The boxes must start from these records; only the configuration is valid
+  // again.
   fleet.Configure("/extra/");
   for (int box = 0; box < 3; ++box) {
     fleet.StartBox(box);
@@ -352,7 +358,7 @@
   CHECK(WaitUntil(kWait, [&] {
     return fleet.Send(1, "GET", "/extra/x", "e").mStatus == 200;
   }));
-  // What the other writer wrote still stands, and a broken document changes
+  // The foreign object is not overwritten, and an invalid document changes
   // nothing.
   CHECK(store.SpecOf({ "box-records", "box-2" }) == R"({"state":"resting"})");
   CHECK(store.SpecOf({ "box-records", "box-2~1" }).find("i-2") !=
@@ -361,7 +367,7 @@
   REQUIRE(fleet.Server(2).Beat("draining"));
   CHECK(fleet.WaitServers(2));
   CHECK(fleet.Send(1, "GET", "/extra/x", "f").mStatus == 200);
-  // The box finds its record under the spare name again.
+  // The restarted box finds its record under the alternative name.
   fleet.SignalBox(2, SIGKILL);
   fleet.WaitForBoxExit(2, kWait);
   fleet.StartBox(2);
@@ -374,7 +380,7 @@
   CHECK(fleet.LogOf(2).find("object_unreadable") != std::string::npos);
 }
 
-TEST_CASE("Heartbeats of another writer change no server in use")
+TEST_CASE("Malformed and foreign heartbeats change no server in use")
 {
   MeshFleet fleet({ .mBoxes = 2, .mPortBase = kPortBase, .mStartTimes = true });
   for (const char* body : { "",
--- a/testing/fleet/tests/RequestFaultsTest.cpp
+++ b/testing/fleet/tests/RequestFaultsTest.cpp
@@ -1,6 +1,6 @@
-// The fault matrix of a request: each fault, begun before the requests come
-// and while they wait, run and are answered, for requests that may run once
-// and for repeatable ones. After it, what every caller was told must be true.
+// The fault matrix of a request. Each fault begins before the requests are sent
+// or while they wait, run and are answered, for requests that may run only once
+// and for repeatable ones. Afterwards every reported outcome must be true.
 #include "fleet/Traffic.h"
 #include "standin/LinkStandIn.h"
 
@@ -60,21 +60,22 @@
 }
 
 void
-HealServer(Matrix& aMatrix)
+RestoreServer(Matrix& aMatrix)
 {
   SetServer(aMatrix, { .mServiceMs = 30 });
 }
 
-// Box 1 in a new life that takes work: each cell begins with it.
+// Starts a new incarnation of box 1 and waits until it serves. Each cell of the
+// matrix begins with it.
 void
 RestartBox(Matrix& aMatrix)
 {
   aMatrix.mFleet.StartBox(1);
   CHECK(aMatrix.mFleet.WaitInForce(1, Millis(10'000)));
-  CHECK(aMatrix.mFleet.WaitUsed(0, 0, Millis(20'000)));
+  CHECK(aMatrix.mFleet.WaitUntilUsed(0, 0, Millis(20'000)));
 }
 
-// Nothing is put back where the fault ends by itself.
+// For faults that need no begin or that end by themselves.
 void
 Nothing(Matrix&)
 {
@@ -111,19 +112,19 @@
     Nothing },
   { "half-answers",
     [](Matrix& aMatrix) { SetServer(aMatrix, { .mHalfPercent = 50 }); },
-    HealServer },
+    RestoreServer },
   { "server-closes",
     [](Matrix& aMatrix) { SetServer(aMatrix, { .mCloseEvery = 2 }); },
-    HealServer },
+    RestoreServer },
   { "server-fails",
     [](Matrix& aMatrix) { SetServer(aMatrix, { .mFailPercent = 50 }); },
-    HealServer },
+    RestoreServer },
   { "server-slow",
     [](Matrix& aMatrix) { SetServer(aMatrix, { .mServiceMs = 2000 }); },
-    HealServer },
+    RestoreServer },
   { "server-drains",
     [](Matrix& aMatrix) { SetServer(aMatrix, { .mDraining = true }); },
-    HealServer },
+    RestoreServer },
   { "platform-away",
     [](Matrix& aMatrix) { aMatrix.mFleet.Platform().SetDown(true); },
     [](Matrix& aMatrix) { aMatrix.mFleet.Platform().SetDown(false); } },
@@ -132,43 +133,44 @@
     [](Matrix& aMatrix) { aMatrix.mFleet.Platform().SetSlow(Millis(0)); } },
 };
 
-// One cell: the fault begins before or amid the requests, ends, and what was
-// held up arrives late.
+// Runs one cell of the matrix: the fault begins before or during the traffic
+// and ends after it, which lets delayed messages arrive.
 void
 RunCell(Matrix& aMatrix,
         const Fault& aFault,
         const std::string& aMethod,
-        bool aAmid)
+        bool aDuringTraffic)
 {
-  const std::string cell =
-    std::string(aFault.mName) + " " + aMethod + (aAmid ? " amid" : " before");
+  const std::string cell = std::string(aFault.mName) + " " + aMethod +
+                           (aDuringTraffic ? " during" : " before");
   CAPTURE(cell);
   TrafficOptions options{ .mMethod = aMethod,
                           .mRequests = 48,
                           .mDeadline = Millis(600),
                           .mIdPrefix = cell };
   RestartBox(aMatrix);
-  if (!aAmid) {
+  if (!aDuringTraffic) {
     aFault.mBegin(aMatrix);
   }
-  std::vector<Record> records;
+  std::vector<RequestRecord> records;
   std::thread traffic([&] { records = SendTraffic(aMatrix.mFleet, options); });
-  if (aAmid) {
+  if (aDuringTraffic) {
     std::this_thread::sleep_for(Millis(60));
     aFault.mBegin(aMatrix);
   }
   traffic.join();
   aFault.mEnd(aMatrix);
-  std::this_thread::sleep_for(Millis(200)); // late requests come through now
-  const auto verdict = Judge(aMatrix.mFleet, records, options);
-  MESSAGE(cell << ": " << ToText(verdict));
-  CHECK(verdict.mBroken.empty());
-  CHECK(verdict.mNoAnswer == 0);
+  // Delayed requests arrive in this time.
+  std::this_thread::sleep_for(Millis(200));
+  const auto summary = CheckTraffic(aMatrix.mFleet, records, options);
+  MESSAGE(cell << ": " << ToText(summary));
+  CHECK(summary.mViolations.empty());
+  CHECK(summary.mNoAnswer == 0);
 }
 
 } // namespace
 
-TEST_CASE("Every caller is told the truth when two things fail at once")
+TEST_CASE("Every caller receives the true outcome when two faults overlap")
 {
   const auto find = [](const std::string& aName) -> const Fault& {
     return *std::find_if(
@@ -203,13 +205,13 @@
   }
 }
 
-TEST_CASE("Every caller is told the truth, whatever fails at the home")
+TEST_CASE("Every caller receives the true outcome under each fault at a home")
 {
   Matrix matrix;
   for (const auto& fault : kFaults) {
     for (const char* method : { "POST", "GET" }) {
-      for (const bool amid : { false, true }) {
-        RunCell(matrix, fault, method, amid);
+      for (const bool duringTraffic : { false, true }) {
+        RunCell(matrix, fault, method, duringTraffic);
       }
     }
   }
