--- a/testing/soak/Checks.cpp
+++ b/testing/soak/Checks.cpp
@@ -7,44 +7,49 @@
 
 namespace {
 
-// Nothing reaches a server so long after the acknowledgement of its draining.
+// Requests sent later than this after the acknowledgement of draining must not
+// reach the server.
 constexpr Millis kDrainBound{ 2000 };
-// After a disturbance, until the box has started and been found by its callers.
-constexpr Millis kAftermath{ 1500 };
+// How long after an outage a box may take to start and its callers to
+// reconnect.
+constexpr Millis kRestartSlack{ 1500 };
 
-// A status that says the request did not run and never will.
+// Whether a status means that the request did not run and never will.
 bool
-SaysNotRun(int aStatus)
+IsNotRunStatus(int aStatus)
 {
   return aStatus == 429 || aStatus == 503 || aStatus == 408 || aStatus == 421;
 }
 
 std::string
-Line(const char* aPromise, const SentRequest& aRequest, const std::string& aWhy)
+Describe(const char* aGuarantee,
+         const SentRequest& aRequest,
+         const std::string& aDetail)
 {
-  return std::string(aPromise) + ": " + aRequest.mId + " at box " +
+  return std::string(aGuarantee) + ": " + aRequest.mId + " at box " +
          std::to_string(aRequest.mBox) + ", status " +
-         std::to_string(aRequest.mReply.mStatus) + ": " + aWhy;
+         std::to_string(aRequest.mReply.mStatus) + ": " + aDetail;
 }
 
-class Judge
+class RequestChecker
 {
 public:
-  Judge(const fleet::MeshFleet& aFleet, const Evidence& aEvidence)
+  RequestChecker(const fleet::MeshFleet& aFleet,
+                 const Observations& aObservations)
     : mFleet(aFleet)
-    , mEvidence(aEvidence)
+    , mObservations(aObservations)
   {
   }
 
   std::vector<std::string> Run()
   {
-    for (const auto& request : mEvidence.mRequests) {
+    for (const auto& request : mObservations.mRequests) {
       CheckAnswer(request);
       CheckRuns(request);
       CheckDrains(request);
     }
     CheckRoutes();
-    return std::move(mBroken);
+    return std::move(mViolations);
   }
 
 private:
@@ -52,18 +57,19 @@
   {
     const auto& reply = aRequest.mReply;
     if (reply.mStatus / 100 == 2) {
-      const bool whole =
+      const bool complete =
         HeaderValue(reply.mHeaders, "Response-Signature") ==
           "s." + aRequest.mId &&
         reply.mBody.ends_with("|" + aRequest.mId + "|" + aRequest.mBody);
-      if (!whole) {
-        mBroken.push_back(Line("whole answer", aRequest, reply.mBody));
+      if (!complete) {
+        mViolations.push_back(
+          Describe("complete answer", aRequest, reply.mBody));
       }
     }
-    const bool known =
+    const bool knownRoute =
       aRequest.mPrefix == "/safe/" || aRequest.mPrefix == "/once/";
-    if (reply.mStatus == 404 && known) {
-      mBroken.push_back(Line("route in force", aRequest, "denied"));
+    if (reply.mStatus == 404 && knownRoute) {
+      mViolations.push_back(Describe("known route", aRequest, "answered 404"));
     }
   }
 
@@ -75,73 +81,77 @@
     const int runs = mFleet.RunsOf(aRequest.mId);
     const int status = aRequest.mReply.mStatus;
     if (runs > 1) {
-      mBroken.push_back(
-        Line("at most once", aRequest, "ran " + std::to_string(runs)));
+      mViolations.push_back(
+        Describe("at most once", aRequest, "runs: " + std::to_string(runs)));
     }
-    if (runs > 0 && SaysNotRun(status)) {
-      mBroken.push_back(Line("not run", aRequest, "it ran"));
+    if (runs > 0 && IsNotRunStatus(status)) {
+      mViolations.push_back(Describe("not run", aRequest, "rejected but ran"));
     }
-    if (runs > 0 && status == 0 && !Disturbed(aRequest)) {
-      mBroken.push_back(Line("an answer", aRequest, "it ran and got none"));
+    if (runs > 0 && status == 0 && !HadOutage(aRequest)) {
+      mViolations.push_back(
+        Describe("answer delivered", aRequest, "ran without an answer"));
     }
   }
 
   void CheckDrains(const SentRequest& aRequest)
   {
-    for (const auto& ack : mEvidence.mAcks) {
+    for (const auto& ack : mObservations.mAcks) {
       if (aRequest.mSentAt > ack.mAt + kDrainBound &&
           ack.mServer->RunsOf(aRequest.mId) > 0) {
-        mBroken.push_back(
-          Line("draining", aRequest, "ran at " + ack.mServer->Id()));
+        mViolations.push_back(
+          Describe("draining", aRequest, "ran at " + ack.mServer->Id()));
       }
     }
   }
 
-  // Once a box has served a route that a change added, it never denies it in
-  // the same life.
+  // Once a box has served a route that a change added, it must not answer 404
+  // for it in the same incarnation.
   void CheckRoutes()
   {
-    std::map<int, TimePoint> served; // by box: from when on
-    for (const auto& request : mEvidence.mRequests) {
+    std::map<int, TimePoint> served; // first answer by box
+    for (const auto& request : mObservations.mRequests) {
       if (request.mPrefix == "/extra/" && request.mReply.mStatus == 200) {
         served.try_emplace(request.mBox, request.mEndedAt);
       }
     }
-    for (const auto& request : mEvidence.mRequests) {
+    for (const auto& request : mObservations.mRequests) {
       const auto it = served.find(request.mBox);
       if (request.mPrefix == "/extra/" && request.mReply.mStatus == 404 &&
           it != served.end() && request.mSentAt > it->second &&
-          !DisturbedSince(request.mBox, it->second, request.mEndedAt)) {
-        mBroken.push_back(Line("no way back", request, "denied after served"));
+          !HadOutageBetween(request.mBox, it->second, request.mEndedAt)) {
+        mViolations.push_back(Describe(
+          "no older configuration", request, "answered 404 after 200"));
       }
     }
   }
 
-  bool DisturbedSince(int aBox, TimePoint aFrom, TimePoint aUntil) const
+  bool HadOutageBetween(int aBox, TimePoint aFrom, TimePoint aUntil) const
   {
-    const auto& all = mEvidence.mDisturbances;
-    return std::any_of(all.begin(), all.end(), [&](const Disturbance& aOne) {
-      return aOne.mBox == aBox && aOne.mBegin <= aUntil &&
-             aOne.mEnd + kAftermath >= aFrom;
-    });
+    const auto& outages = mObservations.mOutages;
+    return std::any_of(
+      outages.begin(), outages.end(), [&](const BoxOutage& aOutage) {
+        return aOutage.mBox == aBox && aOutage.mBegin <= aUntil &&
+               aOutage.mEnd + kRestartSlack >= aFrom;
+      });
   }
 
-  bool Disturbed(const SentRequest& aRequest) const
+  bool HadOutage(const SentRequest& aRequest) const
   {
-    return DisturbedSince(aRequest.mBox, aRequest.mSentAt, aRequest.mEndedAt);
+    return HadOutageBetween(aRequest.mBox, aRequest.mSentAt, aRequest.mEndedAt);
   }
 
   const fleet::MeshFleet& mFleet;
-  const Evidence& mEvidence;
-  std::vector<std::string> mBroken;
+  const Observations& mObservations;
+  std::vector<std::string> mViolations;
 };
 
 } // namespace
 
 std::vector<std::string>
-BrokenPromises(const fleet::MeshFleet& aFleet, const Evidence& aEvidence)
+FindViolations(const fleet::MeshFleet& aFleet,
+               const Observations& aObservations)
 {
-  return Judge(aFleet, aEvidence).Run();
+  return RequestChecker(aFleet, aObservations).Run();
 }
 
 } // namespace porttiller::soak
--- a/testing/soak/Checks.h
+++ b/testing/soak/Checks.h
@@ -1,36 +1,39 @@
-// What must hold for every request of a soak, from what callers and servers
-// saw.
+// Checks the guarantees that hold for every request of a soak, from what
+// callers and servers observed.
 #pragma once
 
 #include "soak/Clients.h"
 
 namespace porttiller::soak {
 
-// A box was killed, stopped or paused: its callers may get no answer.
-struct Disturbance
+// A period in which a box was killed, stopped or paused, so that its callers
+// may get no answer.
+struct BoxOutage
 {
   int mBox = 0;
   TimePoint mBegin;
   TimePoint mEnd;
-  Millis mPlanned{ 0 }; // of its fault, from the start of the soak
+  // Scheduled begin of its fault, from the start of the soak.
+  Millis mPlannedBegin{ 0 };
 };
 
-// A server's word that it drains, acknowledged by its box.
+// A box acknowledged that this server drains or leaves.
 struct DrainAck
 {
   const standin::MeshServerStandIn* mServer = nullptr;
   TimePoint mAt;
 };
 
-struct Evidence
+struct Observations
 {
   std::vector<SentRequest> mRequests;
-  std::vector<Disturbance> mDisturbances;
+  std::vector<BoxOutage> mOutages;
   std::vector<DrainAck> mAcks;
 };
 
-// One line for each broken promise; empty when all were kept.
+// Returns a line for each violated guarantee.
 std::vector<std::string>
-BrokenPromises(const fleet::MeshFleet& aFleet, const Evidence& aEvidence);
+FindViolations(const fleet::MeshFleet& aFleet,
+               const Observations& aObservations);
 
 } // namespace porttiller::soak
--- a/testing/soak/Clients.cpp
+++ b/testing/soak/Clients.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr int kDeadlineMs = 1500;
-// An answer may be this late before the caller gives up.
-constexpr Millis kPatience{ 3000 };
-constexpr int kMaxGapMs = 40;
-constexpr int kExtraOneIn = 6;
+// How long after the deadline a caller still waits for the answer.
+constexpr Millis kAnswerSlack{ 3000 };
+constexpr int kMaxGapMs = 40; // between the requests of one caller
+constexpr int kExtraRouteOneIn = 6;
 
 HttpRequestData
 MakeHttp(const SentRequest& aRequest)
@@ -40,7 +40,7 @@
 }
 
 void
-Clients::ExpectRoute(const std::string& aPrefix)
+Clients::AddRoute(const std::string& aPrefix)
 {
   const std::lock_guard lock(mMutex);
   mExtraPrefix = aPrefix;
@@ -75,15 +75,15 @@
     }
     {
       const std::lock_guard lock(mMutex);
-      if (!mExtraPrefix.empty() && random() % kExtraOneIn == 0) {
+      if (!mExtraPrefix.empty() && random() % kExtraRouteOneIn == 0) {
         request.mRepeatable = true;
         request.mPrefix = mExtraPrefix;
         request.mBody.clear();
       }
     }
     request.mSentAt = Now();
-    request.mReply =
-      fleet::SendTo(pool, MakeHttp(request), Millis(kDeadlineMs) + kPatience);
+    request.mReply = fleet::SendTo(
+      pool, MakeHttp(request), Millis(kDeadlineMs) + kAnswerSlack);
     request.mEndedAt = Now();
     {
       const std::lock_guard lock(mMutex);
--- a/testing/soak/Clients.h
+++ b/testing/soak/Clients.h
@@ -1,5 +1,5 @@
-// Callers that send at every box for as long as a soak lasts, on connections
-// that they keep, and remember what each request was told.
+// Callers that send requests to every box throughout a soak, on persistent
+// connections, and record each answer.
 #pragma once
 
 #include "fleet/MeshFleet.h"
@@ -17,7 +17,7 @@
   std::string mId;
   int mBox = 0;
   bool mRepeatable = false;
-  std::string mPrefix; // of its route
+  std::string mPrefix; // path prefix of its route
   std::string mBody;
   TimePoint mSentAt;
   TimePoint mEndedAt;
@@ -28,7 +28,7 @@
 {
   std::uint64_t mSeed = 1;
   int mBoxes = 4;
-  int mPerBox = 3;
+  int mPerBox = 3; // callers
 };
 
 class Clients
@@ -39,9 +39,10 @@
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
 
-  // The route that a change adds is asked for, too, from now on.
-  void ExpectRoute(const std::string& aPrefix);
-  // Waits for the last answers; returns all requests.
+  // From now on some requests go to this route, too, which a configuration
+  // change adds.
+  void AddRoute(const std::string& aPrefix);
+  // Waits for the outstanding answers and returns all requests.
   std::vector<SentRequest> Stop();
 
 private:
--- a/testing/soak/Schedule.cpp
+++ b/testing/soak/Schedule.cpp
@@ -9,11 +9,13 @@
 
 constexpr int kMinLengthMs = 300;
 constexpr int kMaxLengthMs = 3000;
-// A stopped box needs its whole drain before it is started again.
+// Lets a stopped box complete its drain before it is started again.
 constexpr Millis kStopLength{ 4500 };
-// A draining server goes on for two seconds after the acknowledgement.
+// Requests may reach a draining server for two seconds after the
+// acknowledgement.
 constexpr Millis kReplaceLength{ 3500 };
-// One fault in four hits the same box as the one before, as series do.
+// One fault in four hits the same box as the previous one, so that faults of a
+// box overlap.
 constexpr int kSameBoxOneIn = 4;
 
 Millis
@@ -86,7 +88,8 @@
 std::vector<Fault>
 MakeSchedule(const ScheduleOptions& aOptions)
 {
-  // The engine's numbers are the same everywhere, a distribution's need not be.
+  // The standard fixes the engine's numbers, but not those of distributions,
+  // which could differ between platforms.
   std::mt19937_64 random(aOptions.mSeed);
   const auto draw = [&](int aBelow) {
     return static_cast<int>(random() % static_cast<std::uint64_t>(aBelow));
--- a/testing/soak/Schedule.h
+++ b/testing/soak/Schedule.h
@@ -1,4 +1,5 @@
-// Which faults a soak injects and when, drawn from a seed alone.
+// The faults that a soak injects and their times, which the seed alone
+// determines.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -11,28 +12,28 @@
 
 enum class FaultKind
 {
-  kKillBox,         // SIGKILL, started again at the end
-  kStopBox,         // SIGTERM, started again at the end
-  kPauseBox,        // SIGSTOP until the end
+  kKillBox,         // SIGKILL; restarted at the end
+  kStopBox,         // SIGTERM; restarted at the end
+  kPauseBox,        // SIGSTOP; SIGCONT at the end
   kReloadBox,       // SIGHUP
-  kStoreDown,       // for everybody
-  kStoreCut,        // silently, for one box
-  kStoreCutOneWay,  // its calls arrive, the answers do not
-  kStoreReset,      // the box's connections to it
-  kStoreForgets,    // its history
-  kStoreLosesWrite, // a write takes effect without an answer
-  kServerCut,       // silently, between a box and its server
-  kServerCutOneWay, // requests arrive, answers do not
-  kServerReset,     // the connections between them
-  kServerSlow,      // takes long for each request
-  kServerFull,      // refuses, and says that it did not run
-  kServerSpoils,    // answers without its signature
-  kReplaceServer,   // drains, leaves, and another has its address
-  kConfigure,       // a new version of the configuration
-  kRestartServer,   // ends at once and starts again under its id
-  kForeignWriter,   // writes objects and a heartbeat that are none of ours
-  kStoreSilent,     // a box's open connections to the store carry nothing more
-  kServerSilent     // nor do those between a box and its server
+  kStoreDown,       // for all boxes
+  kStoreCut,        // holds up all data between a box and the store
+  kStoreCutOneWay,  // a box's calls arrive, the answers are held up
+  kStoreReset,      // resets a box's connections to the store
+  kStoreForgets,    // the store drops its change history
+  kStoreLosesWrite, // one write takes effect without an answer
+  kServerCut,       // holds up all data between a box and its server
+  kServerCutOneWay, // requests arrive, answers are held up
+  kServerReset,     // resets the connections between them
+  kServerSlow,      // every request takes long
+  kServerFull,      // rejects requests as not run
+  kServerSpoils,    // answers lack the server's signature
+  kReplaceServer,   // drains, leaves; another takes its address
+  kConfigure,       // writes a new configuration version
+  kRestartServer,   // stops and starts again under its id
+  kForeignWriter,   // writes foreign objects and an invalid heartbeat
+  kStoreSilent,     // a box's open connections to the store drop all data
+  kServerSilent     // the same between a box and its server
 };
 
 inline constexpr int kFaultKinds =
@@ -56,11 +57,11 @@
   std::uint64_t mSeed = 1;
   int mBoxes = 4;
   Millis mLength{ 12'000 };
-  // Faults overlap: at this pace some three are in force at a time.
+  // Faults overlap: with this gap about three are active at a time.
   Millis mMeanGap{ 500 };
 };
 
-// In the order of their beginnings; none lasts beyond the length.
+// Returns the faults by begin time; none lasts beyond aOptions.mLength.
 std::vector<Fault>
 MakeSchedule(const ScheduleOptions& aOptions);
 
--- a/testing/soak/Soak.cpp
+++ b/testing/soak/Soak.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Millis kBeatGap{ 400 };
+constexpr Millis kHeartbeatInterval{ 400 };
 constexpr Millis kExitWait{ 10'000 };
-constexpr Millis kRecoverWait{ 20'000 };
+constexpr Millis kRecoveryWait{ 20'000 };
 constexpr Millis kSlowWork{ 700 };
-constexpr Millis kTick{ 5 };
+constexpr Millis kPollInterval{ 5 };
 
 bool
-IsOnBox(FaultKind aKind)
+IsBoxFault(FaultKind aKind)
 {
   return aKind == FaultKind::kKillBox || aKind == FaultKind::kStopBox ||
          aKind == FaultKind::kPauseBox || aKind == FaultKind::kReloadBox;
@@ -34,7 +34,7 @@
   , mDraining(static_cast<std::size_t>(aOptions.mSchedule.mBoxes), false)
 {
   for (int box = 0; box < mOptions.mSchedule.mBoxes; ++box) {
-    mBeats.emplace_back([this, box] {
+    mHeartbeats.emplace_back([this, box] {
       while (!mStop) {
         {
           const std::lock_guard lock(mServerMutexes.at(box));
@@ -42,7 +42,7 @@
             mFleet.Server(box).Beat();
           }
         }
-        std::this_thread::sleep_for(kBeatGap);
+        std::this_thread::sleep_for(kHeartbeatInterval);
       }
     });
   }
@@ -51,8 +51,8 @@
 Soak::~Soak()
 {
   mStop = true;
-  for (auto& beat : mBeats) {
-    beat.join();
+  for (auto& thread : mHeartbeats) {
+    thread.join();
   }
 }
 
@@ -65,39 +65,39 @@
                    .mBoxes = mOptions.mSchedule.mBoxes,
                    .mPerBox = mOptions.mClientsPerBox });
   const auto start = Now();
-  auto coming = MakeSchedule(mOptions.mSchedule);
-  std::vector<Fault> inForce;
-  while (!coming.empty() || !inForce.empty()) {
+  auto pending = MakeSchedule(mOptions.mSchedule);
+  std::vector<Fault> active;
+  while (!pending.empty() || !active.empty()) {
     const auto now = Now() - start;
-    while (!coming.empty() && coming.front().mBegin <= now) {
-      inForce.push_back(coming.front());
-      Begin(coming.front());
-      coming.erase(coming.begin());
+    while (!pending.empty() && pending.front().mBegin <= now) {
+      active.push_back(pending.front());
+      Begin(pending.front());
+      pending.erase(pending.begin());
     }
-    const auto over = [&](const Fault& aFault) {
+    const auto isOver = [&](const Fault& aFault) {
       return aFault.mBegin + aFault.mLength <= now;
     };
-    for (const auto& fault : inForce) {
-      if (over(fault)) {
+    for (const auto& fault : active) {
+      if (isOver(fault)) {
         End(fault);
       }
     }
-    std::erase_if(inForce, over);
-    std::this_thread::sleep_for(kTick);
+    std::erase_if(active, isOver);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  Heal();
+  ClearFaults();
   SoakResult result;
-  Recover(result);
-  mEvidence.mRequests = mClients->Stop();
-  result.mRequests = mEvidence.mRequests.size();
+  CheckRecovery(result);
+  mObservations.mRequests = mClients->Stop();
+  result.mRequests = mObservations.mRequests.size();
   result.mServed = static_cast<std::size_t>(
-    std::count_if(mEvidence.mRequests.begin(),
-                  mEvidence.mRequests.end(),
+    std::count_if(mObservations.mRequests.begin(),
+                  mObservations.mRequests.end(),
                   [](const SentRequest& aRequest) {
                     return aRequest.mReply.mStatus == 200;
                   }));
-  for (auto& line : BrokenPromises(mFleet, mEvidence)) {
-    result.mBroken.push_back(std::move(line));
+  for (auto& line : FindViolations(mFleet, mObservations)) {
+    result.mViolations.push_back(std::move(line));
   }
   return result;
 }
@@ -113,8 +113,8 @@
 Soak::Begin(const Fault& aFault)
 {
   const int box = aFault.mBox;
-  if (IsOnBox(aFault.mKind)) {
-    BeginOnBox(aFault);
+  if (IsBoxFault(aFault.mKind)) {
+    BeginBoxFault(aFault);
     return;
   }
   switch (aFault.mKind) {
@@ -171,7 +171,7 @@
       break;
     default:
       mFleet.Configure("/extra/");
-      mClients->ExpectRoute("/extra/");
+      mClients->AddRoute("/extra/");
       break;
   }
 }
@@ -203,20 +203,20 @@
       EndReplacement(box);
       break;
     default:
-      EndOnBox(aFault);
+      EndBoxFault(aFault);
       break;
   }
 }
 
 void
-Soak::BeginOnBox(const Fault& aFault)
+Soak::BeginBoxFault(const Fault& aFault)
 {
   const int box = aFault.mBox;
   if (mDown.contains(box)) {
-    return; // it is about to start again anyway
+    return; // the box is down and will be restarted
   }
   if (aFault.mKind != FaultKind::kReloadBox) {
-    mEvidence.mDisturbances.push_back(
+    mObservations.mOutages.push_back(
       { box, Now(), Now() + aFault.mLength, aFault.mBegin });
   }
   switch (aFault.mKind) {
@@ -239,36 +239,35 @@
 }
 
 void
-Soak::EndOnBox(const Fault& aFault)
+Soak::EndBoxFault(const Fault& aFault)
 {
   const int box = aFault.mBox;
   if (aFault.mKind == FaultKind::kPauseBox && mPaused.erase(box) > 0) {
     mFleet.SignalBox(box, SIGCONT);
-    NoteEnd(aFault);
+    RecordOutageEnd(aFault);
   }
-  const bool ends =
+  const bool exits =
     aFault.mKind == FaultKind::kKillBox || aFault.mKind == FaultKind::kStopBox;
-  if (!ends || !mDown.contains(box)) {
+  if (!exits || !mDown.contains(box)) {
     return;
   }
   if (mPaused.erase(box) > 0) {
-    mFleet.SignalBox(box, SIGCONT); // or it could not end
+    mFleet.SignalBox(box, SIGCONT); // a paused process cannot exit
   }
   mFleet.WaitForBoxExit(box, kExitWait);
   mFleet.StartBox(box);
   mDown.erase(box);
-  NoteEnd(aFault);
+  RecordOutageEnd(aFault);
 }
 
-// A disturbance may last longer than planned: other faults of the soak wait for
-// boxes that do not answer.
+// An outage may last longer than planned, because other faults of the soak wait
+// for boxes that do not answer.
 void
-Soak::NoteEnd(const Fault& aFault)
+Soak::RecordOutageEnd(const Fault& aFault)
 {
-  for (auto& disturbance : mEvidence.mDisturbances) {
-    if (disturbance.mBox == aFault.mBox &&
-        disturbance.mPlanned == aFault.mBegin) {
-      disturbance.mEnd = std::max(disturbance.mEnd, Now());
+  for (auto& outage : mObservations.mOutages) {
+    if (outage.mBox == aFault.mBox && outage.mPlannedBegin == aFault.mBegin) {
+      outage.mEnd = std::max(outage.mEnd, Now());
     }
   }
 }
@@ -306,7 +305,7 @@
   mDraining.at(aBox) = true;
   auto& server = mFleet.Server(aBox);
   if (server.Beat("draining")) {
-    mEvidence.mAcks.push_back({ &server, Now() });
+    mObservations.mAcks.push_back({ &server, Now() });
   }
 }
 
@@ -319,14 +318,14 @@
   }
   mDraining.at(aBox) = false;
   if (mFleet.Server(aBox).Leave()) {
-    mEvidence.mAcks.push_back({ &mFleet.Server(aBox), Now() });
+    mObservations.mAcks.push_back({ &mFleet.Server(aBox), Now() });
   }
   mFleet.ReplaceServer(aBox);
 }
 
-// Whatever a fault left behind that was cut short by another one.
+// Removes what faults left behind that overlapped with others.
 void
-Soak::Heal()
+Soak::ClearFaults()
 {
   mFleet.Store().SetDown(false);
   for (int box = 0; box < mOptions.mSchedule.mBoxes; ++box) {
@@ -339,22 +338,22 @@
   mFleet.Configure("/extra/");
 }
 
-// With everything well again every box serves every route.
+// Checks that every box serves every route once all faults have ended.
 void
-Soak::Recover(SoakResult& aResult)
+Soak::CheckRecovery(SoakResult& aResult)
 {
   for (int box = 0; box < mOptions.mSchedule.mBoxes; ++box) {
     for (const std::string prefix : { "/once/", "/safe/", "/extra/" }) {
-      int tries = 0;
-      const bool served = fleet::WaitUntil(kRecoverWait, [&] {
+      int attempts = 0;
+      const bool served = fleet::WaitUntil(kRecoveryWait, [&] {
         const auto id =
-          "end-" + std::to_string(box) + prefix + std::to_string(++tries);
+          "end-" + std::to_string(box) + prefix + std::to_string(++attempts);
         const auto method = prefix == "/once/" ? "POST" : "GET";
         return mFleet.Send(box, method, prefix + "x", id).mStatus == 200;
       });
       if (!served) {
-        aResult.mBroken.push_back("recovery: box " + std::to_string(box) +
-                                  " does not serve " + prefix);
+        aResult.mViolations.push_back("recovery: box " + std::to_string(box) +
+                                      " does not serve " + prefix);
       }
     }
   }
--- a/testing/soak/Soak.h
+++ b/testing/soak/Soak.h
@@ -1,4 +1,5 @@
-// One soak: a fleet of real processes, callers, and faults from a seed.
+// A soak: a fleet of real processes under load from callers and under faults
+// that are derived from a seed.
 #pragma once
 
 #include "soak/Checks.h"
@@ -20,10 +21,11 @@
 {
   std::size_t mRequests = 0;
   std::size_t mServed = 0;
-  std::vector<std::string> mBroken; // a line for each promise that was
+  std::vector<std::string> mViolations; // a line for each violated guarantee
 };
 
-// Runs in the calling thread; heartbeats and callers have threads of their own.
+// Injects the faults from the calling thread. Heartbeats and callers run in
+// threads of their own.
 class Soak
 {
 public:
@@ -31,34 +33,35 @@
   ~Soak();
 
   SoakResult Run();
-  // What the boxes logged, as far as their files are still there.
+  // The log of a box; empty if its file no longer exists.
   std::string LogOf(int aBox) const { return mFleet.LogOf(aBox); }
 
 private:
   void Begin(const Fault& aFault);
   void End(const Fault& aFault);
-  void BeginOnBox(const Fault& aFault);
-  void EndOnBox(const Fault& aFault);
-  void NoteEnd(const Fault& aFault);
+  void BeginBoxFault(const Fault& aFault);
+  void EndBoxFault(const Fault& aFault);
+  void RecordOutageEnd(const Fault& aFault);
   void SetServer(int aBox, const standin::MeshServerFaults& aFaults);
   void RestartServer(int aBox);
   void WriteForeignObjects(int aBox);
   void BeginReplacement(int aBox);
   void EndReplacement(int aBox);
-  void Heal();
-  void Recover(SoakResult& aResult);
+  void ClearFaults();
+  void CheckRecovery(SoakResult& aResult);
 
   const SoakOptions mOptions;
   fleet::MeshFleet mFleet;
-  Evidence mEvidence;
-  std::set<int> mDown; // killed or stopped, not yet started again
+  Observations mObservations;
+  std::set<int> mDown; // killed or stopped, not yet restarted
   std::set<int> mPaused;
-  // A server is replaced while it tells about itself: one lock for each box.
+  // One mutex for each box, because a server may be replaced while its
+  // heartbeat is sent.
   std::deque<std::mutex> mServerMutexes;
-  std::deque<bool> mDraining; // of the box's server; under its lock
+  std::deque<bool> mDraining; // by box, under its mutex: its server drains
   std::atomic<bool> mStop{ false };
   std::unique_ptr<Clients> mClients;
-  std::vector<std::thread> mBeats; // one for each box
+  std::vector<std::thread> mHeartbeats; // one thread for each box
 };
 
 } // namespace porttiller::soak
--- a/testing/soak/soak.cpp
+++ b/testing/soak/soak.cpp
@@ -1,6 +1,6 @@
-// Plays soaks: "soak [--seed N] [--seeds N] [--seconds S] [--boxes N]". Ends
-// with 1 when a promise was broken; names the seed, which reproduces the
-// schedule, and keeps the logs of the boxes.
+// Runs soaks: "soak [--seed N] [--seeds N] [--seconds S] [--boxes N]
+// [--port-base N]". Exits with 1 if a guarantee was violated; prints the seed,
+// which reproduces the schedule, and saves the logs of the boxes.
 #include "soak/Soak.h"
 
 #include <cxxopts.hpp>
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Of broken promises, printed for each seed.
-constexpr std::size_t kShownLines = 8;
+// Limits the violations printed for each seed.
+constexpr std::size_t kMaxPrintedViolations = 8;
 
 void
 PrintSchedule(const ScheduleOptions& aOptions)
@@ -27,7 +27,7 @@
 }
 
 void
-KeepLogs(const Soak& aSoak, const SoakOptions& aOptions)
+SaveLogs(const Soak& aSoak, const SoakOptions& aOptions)
 {
   const auto folder = std::filesystem::temp_directory_path() /
                       ("soak-" + std::to_string(aOptions.mSchedule.mSeed));
@@ -40,22 +40,23 @@
 }
 
 bool
-Play(const SoakOptions& aOptions)
+RunSoak(const SoakOptions& aOptions)
 {
   Soak soak(aOptions);
   const auto result = soak.Run();
   std::cout << "seed " << aOptions.mSchedule.mSeed << ": " << result.mServed
             << " of " << result.mRequests << " requests served, "
-            << result.mBroken.size() << " promises broken" << std::endl;
-  for (std::size_t i = 0; i < std::min(kShownLines, result.mBroken.size());
+            << result.mViolations.size() << " guarantees violated" << std::endl;
+  for (std::size_t i = 0;
+       i < std::min(kMaxPrintedViolations, result.mViolations.size());
        ++i) {
-    std::cout << "  " << result.mBroken[i] << "\n";
+    std::cout << "  " << result.mViolations[i] << "\n";
   }
-  if (!result.mBroken.empty()) {
+  if (!result.mViolations.empty()) {
     PrintSchedule(aOptions.mSchedule);
-    KeepLogs(soak, aOptions);
+    SaveLogs(soak, aOptions);
   }
-  return result.mBroken.empty();
+  return result.mViolations.empty();
 }
 
 } // namespace
@@ -67,22 +68,24 @@
   auto add = options.add_options();
   add(
     "seed", "first seed", cxxopts::value<std::uint64_t>()->default_value("1"));
-  add("seeds", "how many", cxxopts::value<int>()->default_value("1"));
-  add("seconds", "of each", cxxopts::value<int>()->default_value("12"));
-  add("boxes", "of each", cxxopts::value<int>()->default_value("4"));
-  add("port-base", "ports", cxxopts::value<int>()->default_value("27000"));
-  const auto given = options.parse(aCount, aArguments);
+  add("seeds", "number of seeds", cxxopts::value<int>()->default_value("1"));
+  add("seconds",
+      "length of each run",
+      cxxopts::value<int>()->default_value("12"));
+  add("boxes", "boxes in each run", cxxopts::value<int>()->default_value("4"));
+  add("port-base", "first port", cxxopts::value<int>()->default_value("27000"));
+  const auto parsed = options.parse(aCount, aArguments);
   int failed = 0;
-  for (int i = 0; i < given["seeds"].as<int>(); ++i) {
+  for (int i = 0; i < parsed["seeds"].as<int>(); ++i) {
     SoakOptions one;
     one.mSchedule.mSeed =
-      given["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(i);
-    one.mSchedule.mBoxes = given["boxes"].as<int>();
-    one.mSchedule.mLength = std::chrono::seconds(given["seconds"].as<int>());
-    one.mPortBase = given["port-base"].as<int>();
-    failed += Play(one) ? 0 : 1;
+      parsed["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(i);
+    one.mSchedule.mBoxes = parsed["boxes"].as<int>();
+    one.mSchedule.mLength = std::chrono::seconds(parsed["seconds"].as<int>());
+    one.mPortBase = parsed["port-base"].as<int>();
+    failed += RunSoak(one) ? 0 : 1;
   }
-  std::cout << given["seeds"].as<int>() - failed << " passed, " << failed
+  std::cout << parsed["seeds"].as<int>() - failed << " passed, " << failed
             << " failed" << std::endl;
   return failed == 0 ? 0 : 1;
 }
