--- a/packages/core/include/porttiller/core/Ids.h
+++ b/packages/core/include/porttiller/core/Ids.h
@@ -10,7 +10,8 @@
 
 namespace porttiller {
 
-// A string that names one kind of thing; names of two kinds do not mix.
+// A strongly typed name. Names with different tags are different types, which
+// cannot be assigned to or compared with each other.
 template<typename Tag>
 class Name
 {
@@ -30,17 +31,19 @@
   std::string mValue;
 };
 
-// One machine with its one daemon.
+// A machine of the fleet; one porttiller daemon runs on it.
 using BoxName = Name<struct BoxTag>;
-// A group of boxes that fail together.
+// A failure domain: boxes that can fail together.
 using AvailabilityZone = Name<struct AvailabilityZoneTag>;
 using ServiceName = Name<struct ServiceTag>;
 using BackendServerName = Name<struct BackendServerTag>;
-// A customer of the fleet: whoever holds one of its keys acts for it.
+// A customer account (tenant). A request with one of its API keys belongs to
+// it.
 using WorkspaceName = Name<struct WorkspaceTag>;
 
-// One life of a daemon. Drawn at start from the wall clock in microseconds and
-// random bits, so two lives of a box never share one.
+// Identifies one run of a daemon process. Made at start from the wall clock in
+// microseconds and random bits, so that no two runs on a box share a value.
+// 0 means unknown.
 class Incarnation
 {
 public:
@@ -59,7 +62,7 @@
   std::uint64_t mValue = 0;
 };
 
-// Names one attempt of one request; never used twice.
+// Identifies one attempt of one request; never reused.
 // Text form: "<box>/<incarnation>/<sequence>".
 class AttemptId
 {
@@ -72,7 +75,7 @@
   std::uint64_t Sequence() const { return mSequence; }
 
   std::string ToString() const;
-  // Null when the text is not an attempt id.
+  // Null when the text is not an attempt ID.
   static std::optional<AttemptId> Parse(std::string_view aText);
 
   friend auto operator<=>(const AttemptId&, const AttemptId&) = default;
@@ -83,12 +86,13 @@
   std::uint64_t mSequence = 0;
 };
 
-// Whether a text can be an id from outside: printable ASCII without blanks, 256
-// characters at most. Ids go into headers and log lines.
+// Whether aText may be used as an identifier that another process supplies: 1
+// to 256 printable ASCII characters without spaces. Such identifiers are copied
+// into headers and log lines.
 bool
 IsToken(std::string_view aText);
 
-// Null unless the whole text is a decimal number that fits.
+// Null unless the whole text is a decimal number that fits in 64 bits.
 std::optional<std::uint64_t>
 ParseUnsigned(std::string_view aText);
 
--- a/packages/core/include/porttiller/core/Outcome.h
+++ b/packages/core/include/porttiller/core/Outcome.h
@@ -1,4 +1,4 @@
-// What is known about whether a request was run by a backend server.
+// The outcome of a request: whether a backend server is known to have run it.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,9 @@
 
 enum class Outcome
 {
-  kRun,    // a backend server ran it and its whole answer is here
-  kNotRun, // no backend server ran it, and none will
-  kUnknown // neither of these can be shown
+  kRun,    // a backend server ran it, and the complete response is here
+  kNotRun, // no backend server ran it or will run it
+  kUnknown // neither of the above can be established
 };
 
 // "run", "not-run" or "unknown", as in the Porttiller-Outcome header.
@@ -20,7 +20,8 @@
 std::optional<Outcome>
 ParseOutcome(std::string_view aText);
 
-// Order in which requests are given up under overload, last one first.
+// Priority of a request. Under overload, kSheddable requests are shed first and
+// kCritical ones last.
 enum class Priority
 {
   kCritical,
--- a/packages/core/include/porttiller/core/Refusal.h
+++ b/packages/core/include/porttiller/core/Refusal.h
@@ -1,4 +1,4 @@
-// Why a home did not run an attempt.
+// The reason why a home rejected an attempt without running it.
 #pragma once
 
 #include <cstddef>
@@ -10,19 +10,19 @@
 enum class Refusal
 {
   kNone,
-  kIncarnation, // the attempt names another life of the home
+  kIncarnation, // the attempt names another incarnation of the home
   kNoServer,    // the server is not on this box
-  kLeaving,     // the server or its box is leaving
-  kEjected,     // set aside; no work at all
-  kDemoted,     // set aside, but would serve as the last resort
-  kOverloaded,  // no slot before the deadline, or given up for another
-  kServerBusy,  // the server itself refused it
-  kNoRetries,   // a repeat, and the server's share of them is spent
+  kLeaving,     // the server or its box is shutting down
+  kEjected,     // the server is ejected and gets no requests
+  kDemoted,     // the server is used only as the last resort
+  kOverloaded,  // no slot before the deadline, or shed for another request
+  kServerBusy,  // the server itself rejected it
+  kNoRetries,   // a retry, and the server's retry budget is exhausted
   kExpired,     // the deadline had passed
-  kRevoked,     // revoked before it arrived
-  kDuplicate,   // this attempt was here before
-  kStale,       // too old to know whether it was here before
-  kUnreachable  // said by the entry: the home could not be reached
+  kRevoked,     // its revocation arrived first
+  kDuplicate,   // this attempt was received before
+  kStale,       // too old to tell whether it was received before
+  kUnreachable  // set by the entry: it could not reach the home
 };
 
 inline constexpr std::size_t kRefusalCount = 14;
--- a/packages/core/include/porttiller/core/Rendezvous.h
+++ b/packages/core/include/porttiller/core/Rendezvous.h
@@ -1,5 +1,5 @@
-// Rendezvous hashing: every node that knows the same boxes names the same
-// owner, without an election. Source: Thaler and Ravishankar, 1998.
+// Rendezvous hashing (Thaler and Ravishankar, 1998): nodes that know the same
+// boxes choose the same owners of a key, without an election.
 #pragma once
 
 #include "porttiller/core/Ids.h"
@@ -9,7 +9,8 @@
 
 namespace porttiller {
 
-// The aCount boxes that own aKey, best first; fewer when there are fewer.
+// The aCount boxes that own aKey, highest score first. Returns every box when
+// aBoxes has fewer.
 std::vector<BoxName>
 RendezvousOwners(std::string_view aKey,
                  const std::vector<BoxName>& aBoxes,
--- a/packages/core/include/porttiller/core/ServerIncarnation.h
+++ b/packages/core/include/porttiller/core/ServerIncarnation.h
@@ -10,9 +10,9 @@
 
 namespace porttiller {
 
-// A backend server's id, which it may keep when it starts again, and the time
-// of that start by the server's own clock. Start times order the starts of one
-// id; they are never compared with those of another id or with another clock.
+// A backend server's ID, which it may keep across restarts, and its start time
+// by the server's own clock. Start times order the incarnations of one ID; they
+// are never compared with those of another ID or with another clock.
 // An unknown start time comes before every known one. Immutable.
 class ServerIncarnation
 {
@@ -25,7 +25,7 @@
   // Milliseconds since the Unix epoch.
   std::optional<std::int64_t> StartMs() const { return mStartMs; }
 
-  // True when this is a later start of the same id.
+  // True when this is a later start of the same ID.
   bool Supersedes(const ServerIncarnation& aOther) const;
 
   // "ID@START", or "ID" while the start time is unknown.
@@ -33,7 +33,7 @@
 
   friend bool operator==(const ServerIncarnation&,
                          const ServerIncarnation&) = default;
-  // Starts of different ids are unordered.
+  // Incarnations of different IDs are unordered.
   friend std::partial_ordering operator<=>(const ServerIncarnation& aLeft,
                                            const ServerIncarnation& aRight);
 
--- a/packages/core/include/porttiller/core/Time.h
+++ b/packages/core/include/porttiller/core/Time.h
@@ -1,4 +1,4 @@
-// Time types. No clock is read here: callers pass the time in.
+// Time types and the monotonic clock.
 #pragma once
 
 #include <chrono>
@@ -8,18 +8,17 @@
 using Millis = std::chrono::milliseconds;
 using Micros = std::chrono::microseconds;
 
-// A point on one process's own monotonic clock; never compared across boxes.
+// A time on this process's monotonic clock; not comparable across boxes.
 using TimePoint =
   std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
 
-// Reads the monotonic clock of this process.
 inline TimePoint
 Now()
 {
   return std::chrono::time_point_cast<Micros>(std::chrono::steady_clock::now());
 }
 
-// Milliseconds since the clock's own origin.
+// Milliseconds since the epoch of the monotonic clock.
 inline std::int64_t
 ToMillis(TimePoint aTime)
 {
--- a/packages/core/tests/ServerIncarnationTest.cpp
+++ b/packages/core/tests/ServerIncarnationTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace porttiller;
 
-TEST_CASE("Start times order the starts of one id only")
+TEST_CASE("Start times order incarnations of the same ID only")
 {
   const BackendServerName id("a");
   const ServerIncarnation unknown(id);
@@ -21,7 +21,7 @@
   CHECK(first != other);
 }
 
-TEST_CASE("An incarnation's text has the start time where it is known")
+TEST_CASE("ToString includes the start time if it is known")
 {
   const BackendServerName id("i-7f3a");
   CHECK(ServerIncarnation(id).ToString() == "i-7f3a");
