--- a/packages/config/include/porttiller/config/BoxRecord.h
+++ b/packages/config/include/porttiller/config/BoxRecord.h
@@ -1,6 +1,7 @@
-// The record of a box and its backend server, where no operator lists them. The
-// box alone writes its record, and each change raises the record's revision, so
-// of two versions the higher one holds.
+// The record of a box and its backend server, for boxes that register
+// themselves instead of being listed by an operator. Only the box writes its
+// record. Each change increments the revision, so the version with the highest
+// revision is valid.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -18,22 +19,22 @@
 enum class ServerState
 {
   kReady,
-  kDraining, // announced that it will leave; finishes what it has
-  kLeft      // announced that it leaves now
+  kDraining, // announced its shutdown; finishes the requests it has accepted
+  kLeft      // announced that it has shut down
 };
 
 const char*
 ToText(ServerState aState);
 
-// The backend server beside a box, in one of its starts.
+// The backend server of a box, in one incarnation.
 struct ServerRecord
 {
   ServerIncarnation mIncarnation;
   ServiceName mService;
-  std::string mAddress; // "ip:port", reached from its own box
-  int mSlots = 1;
+  std::string mAddress; // "ip:port", connected to only from its own box
+  int mSlots = 1;       // requests that it runs concurrently
   ServerState mState = ServerState::kReady;
-  std::uint64_t mSequence = 0; // of the heartbeat that said so
+  std::uint64_t mSequence = 0; // of the heartbeat that reported this state
 
   friend auto operator<=>(const ServerRecord&, const ServerRecord&) = default;
 };
@@ -48,11 +49,11 @@
   friend auto operator<=>(const BoxRecord&, const BoxRecord&) = default;
 };
 
-// The store's kind of these objects.
+// The kind of these objects in the store.
 inline constexpr const char* kBoxRecordKind = "box-records";
 
-// Where a box's record stands: under the box's name or, while an object of
-// another writer has that name, under a spare one.
+// The object name of a box's record: the box's name or, while another writer's
+// object has that name, a spare one.
 enum class BoxRecordPlace
 {
   kUsual,
@@ -62,23 +63,23 @@
 ObjectKey
 BoxRecordKey(const BoxName& aBox, BoxRecordPlace aPlace);
 
-// The record in an object of the store. An object that cannot be read, or whose
-// name is not one of the box in it, is no record.
+// Decodes the record in an object of the store. Fails if the contents are
+// invalid or if the object's name does not belong to the box in the record.
 tl::expected<BoxRecord, UnreadableObject>
 ReadBoxRecord(const Object& aObject);
 
-// Records from outside, and what was left out among them.
+// Records from the store or a peer, and the objects that could not be read.
 struct BoxRecordList
 {
   std::vector<BoxRecord> mRecords;
   std::vector<UnreadableObject> mUnreadable;
 };
 
-// The records in a list of the store.
+// Decodes the records in a list from the store.
 BoxRecordList
 ReadBoxRecords(const ObjectDelta& aList);
 
-// The server as routing takes it. The record must have one.
+// The spec of the record's server for routing. The record must have a server.
 BackendServerSpec
 SpecOf(const BoxRecord& aRecord);
 
--- a/packages/config/include/porttiller/config/Directory.h
+++ b/packages/config/include/porttiller/config/Directory.h
@@ -1,5 +1,5 @@
-// The records of all boxes that this node knows of. Merging is a maximum by
-// revision, so the order and number of messages do not matter.
+// The records of all boxes that this node knows. A merge keeps the highest
+// revision of each record, so duplicated and reordered messages are harmless.
 #pragma once
 
 #include "porttiller/config/BoxRecord.h"
@@ -10,7 +10,7 @@
 
 namespace porttiller {
 
-// Which version of a box's record a node holds.
+// The version of a box's record that a node holds.
 struct RecordVersion
 {
   BoxName mBox;
@@ -23,14 +23,15 @@
 class Directory
 {
 public:
-  // True when it is newer than what is held.
+  // Returns true when aRecord is newer than the held one and replaces it.
   bool Merge(const BoxRecord& aRecord);
   const BoxRecord* Find(const BoxName& aBox) const;
-  // Those that may be used: an address belongs to the newest life that claims
-  // it, and the platform gives addresses of boxes that are gone to others.
+  // The records to route by. The platform reassigns the addresses of removed
+  // boxes, so of several records with one home address only the one with the
+  // newest incarnation is returned.
   std::vector<BoxRecord> InUse() const;
   std::vector<RecordVersion> Versions() const;
-  // Equal on nodes that hold the same versions.
+  // The same on all nodes that hold the same versions.
   std::uint64_t Digest() const { return mDigest; }
   std::size_t Size() const { return mRecords.size(); }
 
--- a/packages/config/include/porttiller/config/EdgeHeaders.h
+++ b/packages/config/include/porttiller/config/EdgeHeaders.h
@@ -1,28 +1,28 @@
-// The names of the headers by which callers, the proxy and backend servers tell
-// each other about a request. An empty name: that side does not speak of it.
+// Names of the headers that callers, the proxy and backend servers use to
+// describe a request. An empty name: the header is not used.
 #pragma once
 
 #include <string>
 
 namespace porttiller {
 
-// Immutable; chosen once by the settings.
+// Immutable; selected by the settings at start.
 struct EdgeHeaders
 {
   // From callers.
-  std::string mDeadline;  // milliseconds that the caller waits, from now on
-  std::string mRequestId; // of this request; also on the server's answer
-  std::string mKey;       // of a workspace; goes no further than the entry
+  std::string mDeadline;  // remaining milliseconds that the caller waits
+  std::string mRequestId; // also present in the server's response
+  std::string mKey;       // API key of a workspace; the entry removes it
   // To backend servers.
-  std::string mServerDeadline; // milliseconds that are left
-  std::string mCallerService;  // the service on the box where it began
-  std::string mExpectedServer; // id of the server that may run it
-  std::string mWorkspace;      // whose key the request came with
+  std::string mServerDeadline; // remaining milliseconds
+  std::string mCallerService;  // service on the box that accepted the request
+  std::string mExpectedServer; // ID of the only server that may run it
+  std::string mWorkspace;      // workspace of the request's API key
   // From backend servers.
-  std::string mNotRun;    // present when the server did not run the request
-  std::string mSignature; // present on each answer that the server made whole
-  std::string mLoad;      // "running,waiting,slots"
-  // Whether callers are told the outcome of each request in headers.
+  std::string mNotRun;    // present if the server did not run the request
+  std::string mSignature; // present in each response that the server completed
+  std::string mLoad;      // value "running,waiting,slots"
+  // Whether responses to callers have headers with the outcome of the request.
   bool mTellOutcome = false;
 
   friend auto operator<=>(const EdgeHeaders&, const EdgeHeaders&) = default;
--- a/packages/config/include/porttiller/config/FieldReader.h
+++ b/packages/config/include/porttiller/config/FieldReader.h
@@ -1,5 +1,5 @@
-// Reads named, typed, range-checked fields from a JSON object and collects
-// every error with its field's path, so that one pass reports them all.
+// Reads named, typed, range-checked fields from a JSON object and collects all
+// errors with the paths of their fields, so that one pass reports every error.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -11,7 +11,7 @@
 
 namespace porttiller {
 
-// One thing wrong with a document, e.g. { "callers.threads", "must be ..." }.
+// An error in a document, e.g. { "callers.threads", "must be ..." }.
 struct FieldError
 {
   std::string mPath;
@@ -22,19 +22,19 @@
 
 using FieldErrors = std::vector<FieldError>;
 
-// Every error on a line of its own: "path: problem".
+// One line for each error: "path: problem".
 std::string
 ToText(const FieldErrors& aErrors);
 
-// An integer's bounds, both inclusive.
+// Inclusive bounds of an integer.
 struct IntegerRange
 {
   std::int64_t mMin = 0;
   std::int64_t mMax = 0;
 };
 
-// Reads one JSON object. Owned by the parsing function; holds a reference to
-// the caller's list of errors.
+// Reads one JSON object. Holds a reference to the caller's list of errors,
+// which must outlive the reader.
 class FieldReader
 {
 public:
@@ -42,7 +42,7 @@
               std::string aPath,
               FieldErrors& aErrors);
 
-  // A required string that is not empty.
+  // A required, non-empty string.
   std::string String(const std::string& aName);
   std::string StringOr(const std::string& aName, const std::string& aDefault);
   std::int64_t Integer(const std::string& aName, IntegerRange aRange);
@@ -59,17 +59,17 @@
   std::vector<std::string> Addresses(const std::string& aName);
   // A required "ip:port".
   std::string Address(const std::string& aName);
-  // A required IPv4 "ip:port" that can be connected to.
+  // A required "ip:port" with an IPv4 address and a port other than 0.
   std::string Endpoint(const std::string& aName);
   std::string AddressOr(const std::string& aName, const std::string& aDefault);
-  // The objects of an array; none when it is absent.
+  // The objects of an array; none if it is absent.
   std::vector<FieldReader> Children(const std::string& aName);
-  // An object within this one; an empty one when absent.
+  // A nested object; an empty one if it is absent.
   FieldReader Child(const std::string& aName);
-  // False also for null: a template has it where a value is missing.
+  // Also false for null, which templates write in place of a missing value.
   bool Has(const std::string& aName) const;
 
-  // Call last: every key that no call above named is an error.
+  // Adds an error for each key that was not read before; call it last.
   void RefuseUnknown();
   void Fail(const std::string& aName, const std::string& aProblem);
 
--- a/packages/config/include/porttiller/config/JsonText.h
+++ b/packages/config/include/porttiller/config/JsonText.h
@@ -1,4 +1,4 @@
-// JSON text to objects and back; comments are allowed on the way in.
+// Parses and prints JSON objects. The parser accepts comments.
 #pragma once
 
 #include "porttiller/config/FieldReader.h"
@@ -10,20 +10,21 @@
 
 namespace porttiller {
 
-// The one error says where the text stops being a JSON object.
+// On failure, returns one error that describes why aText is not a JSON object.
 tl::expected<Poco::JSON::Object::Ptr, FieldErrors>
 ParseJsonObject(const std::string& aText);
 
-// With null for each number that no 64-bit type can hold, so that the rest of
-// the text can be read.
+// Replaces each number that does not fit a 64-bit type with null, so that the
+// rest of the text can be parsed.
 std::string
 WithoutUnfitNumbers(std::string aText);
 
-// On one line.
+// Prints the object on one line.
 std::string
 ToJsonText(const Poco::JSON::Object& aObject);
 
-// Runs a reader over the object in aText; what the reader throws is an error.
+// Parses aText and passes the object to aReader. A Poco::Exception from the
+// reader becomes a DialectError.
 template<typename Reader>
 auto
 DecodeJson(const std::string& aText, Reader aReader)
@@ -36,7 +37,7 @@
   } catch (const Poco::Exception& e) {
     return tl::make_unexpected(DialectError{ e.displayText() });
   }
-  return tl::make_unexpected(DialectError{ "the text is no JSON object" });
+  return tl::make_unexpected(DialectError{ "not a JSON object" });
 }
 
 } // namespace porttiller
--- a/packages/config/include/porttiller/config/ObjectSet.h
+++ b/packages/config/include/porttiller/config/ObjectSet.h
@@ -1,6 +1,6 @@
-// The configuration objects that a node holds, ordered by the platform's
-// store-wide revision. The set at revision R has the same contents on every
-// node, so a revision number alone tells two nodes who is behind.
+// The configuration objects that a node holds, versioned by the platform's
+// store-wide revision. At the same revision the set has the same contents on
+// every node, so comparing revisions shows which node is behind.
 #pragma once
 
 #include "porttiller/config/UnreadableObject.h"
@@ -23,12 +23,12 @@
   friend auto operator<=>(const ObjectKey&, const ObjectKey&) = default;
 };
 
-// One version of one object; a deleted one is a tombstone without a spec.
+// One version of one object. A deleted object is a tombstone without a spec.
 struct Object
 {
   ObjectKey mKey;
-  // The store's revision when it was written. Of an object of a document: a
-  // revision since which its holder has seen it unchanged.
+  // The store's revision at the time of the write. For an object of a document:
+  // a revision since which its holder has seen no change of the object.
   std::uint64_t mVersion = 0;
   bool mDeleted = false;
   std::string mSpecJson;
@@ -36,20 +36,22 @@
   friend auto operator<=>(const Object&, const Object&) = default;
 };
 
-// All changes after revision mFrom up to and including mTo. With mFull set,
-// the whole set at mTo, whatever mFrom says.
+// All changes after revision mFrom up to and including mTo. With mFull, the
+// complete set at mTo; mFrom is then ignored.
 struct ObjectDelta
 {
   std::uint64_t mFrom = 0;
   std::uint64_t mTo = 0;
   bool mFull = false;
-  // The objects come from one document that is written as a whole. Revisions
-  // between mFrom and mTo may then have had contents that are not told here.
+  // The objects come from a single document that is always written as a whole.
+  // The delta then may not cover the contents of revisions between mFrom and
+  // mTo.
   bool mOfDocument = false;
   std::vector<Object> mObjects;
-  // Where the store's next watch goes on; at or after mTo.
+  // The revision at which the next watch of the store starts; mTo or later.
   std::uint64_t mCursor = 0;
-  // What was left out of mObjects; of a store's answer only.
+  // Objects that could not be read and are not in mObjects; set only in
+  // responses of the store.
   std::vector<UnreadableObject> mUnreadable;
 
   friend bool operator==(const ObjectDelta&, const ObjectDelta&) = default;
@@ -57,7 +59,7 @@
 
 enum class ApplyError
 {
-  kStale, // nothing in it is newer than the set
+  kStale, // the delta has nothing newer than the set
   kGap    // changes between the set and the delta are missing
 };
 
@@ -68,10 +70,11 @@
 
 struct ObjectSetOptions
 {
-  // Tombstones kept for deltas; older nodes get the full set instead.
+  // Number of tombstones kept for deltas. Nodes at revisions before the oldest
+  // one get the full set.
   std::size_t mMaxTombstones = 4096;
-  // Revisions of a document that are remembered as held; a node that holds
-  // another one gets the full set.
+  // Number of remembered revisions at which this set held a document. A node at
+  // another revision gets the full set.
   std::size_t mMaxHeld = 64;
 };
 
@@ -82,19 +85,19 @@
   explicit ObjectSet(ObjectSetOptions aOptions = {});
 
   std::uint64_t Revision() const { return mRevision; }
-  // Hash over all contents, to check that equal revisions mean equal sets.
+  // Hash of the contents, to verify that sets at equal revisions are equal.
   std::uint64_t Digest() const { return mDigest; }
   std::size_t Size() const { return mObjects.size(); }
 
-  // Moves the set forward to aDelta.mTo in one step, or leaves it untouched.
-  // Returns the keys that changed.
+  // Advances the set to aDelta.mTo atomically, or leaves it unchanged on error.
+  // Returns the keys of the objects that changed.
   tl::expected<std::vector<ObjectKey>, ApplyError> Apply(
     const ObjectDelta& aDelta);
 
-  // What a node at revision aFrom lacks.
+  // The changes that a node at revision aFrom is missing.
   ObjectDelta Since(std::uint64_t aFrom) const;
 
-  // Null when absent or deleted.
+  // Null if the object is absent or deleted.
   const Object* Find(const ObjectKey& aKey) const;
 
 private:
@@ -105,18 +108,21 @@
            bool aOfDocument,
            std::vector<ObjectKey>& aChanged);
   void DropAbsent(const ObjectDelta& aFull, std::vector<ObjectKey>& aChanged);
-  Objects::iterator Forget(Objects::iterator aObject);
-  Objects::iterator Bury(Objects::iterator aObject, std::uint64_t aVersion);
+  Objects::iterator Erase(Objects::iterator aObject);
+  Objects::iterator ReplaceWithTombstone(Objects::iterator aObject,
+                                         std::uint64_t aVersion);
   void TrimTombstones();
-  void NoteHeld(bool aOfDocument);
+  void RecordRevision(bool aOfDocument);
   bool CoversFrom(std::uint64_t aFrom) const;
 
   ObjectSetOptions mOptions;
   std::uint64_t mRevision = 0;
   std::uint64_t mDigest = 0;
-  std::uint64_t mCompacted = 0;  // deltas from before this are full
-  bool mOfDocument = false;      // of the last delta
-  std::set<std::uint64_t> mHeld; // newest revisions of a document
+  // Deltas from earlier revisions are full.
+  std::uint64_t mCompactedRevision = 0;
+  bool mOfDocument = false; // value in the last delta
+  // Latest revisions of a document that this set held.
+  std::set<std::uint64_t> mHeld;
   Objects mObjects;
   std::set<std::pair<std::uint64_t, ObjectKey>> mTombstones; // by version
 };
--- a/packages/config/include/porttiller/config/Registrar.h
+++ b/packages/config/include/porttiller/config/Registrar.h
@@ -1,5 +1,5 @@
-// Orders the messages of the backend server beside one box. Messages may come
-// late, from an earlier start of the server, or from another writer.
+// Tracks the backend server of a box by the server's messages. Messages may be
+// delayed, reordered, or come from an earlier incarnation or another process.
 #pragma once
 
 #include "porttiller/config/BoxRecord.h"
@@ -10,35 +10,36 @@
 
 namespace porttiller {
 
-// A heartbeat, or the message that the server leaves.
+// A heartbeat or a leave message.
 struct ServerMessage
 {
-  ServerRecord mServer; // of a leaving one only incarnation and state count
-  Millis mColdFor{ 0 }; // it is slow from its start for so much longer
+  ServerRecord mServer; // a leave message uses only incarnation and state
+  // Remaining time in which the server is slow after its start.
+  Millis mColdFor{ 0 };
 };
 
-// What a message changes.
+// The effect of a message.
 enum class RegistrarVerdict
 {
-  kNothingNew, // known, late, or of an earlier start
-  kNewServer,  // another server or start, or its first message
-  kLeaving,    // it drains or leaves; to be kept before it is acknowledged
-  kForeign     // not of the server in use; not to be acknowledged
+  kNothingNew, // already known, delayed, or from an earlier incarnation
+  kNewServer,  // first message of this server or incarnation
+  kLeaving,    // it drains or leaves; store this before acknowledging it
+  kForeign     // not from the server in use; must not be acknowledged
 };
 
-// Within one id a later start replaces an earlier one at once, whatever the
-// state of either, and messages of earlier starts change nothing. Servers
-// that report no start time have a new id at each start. Owned by the directory
-// controller, under its lock.
+// A later incarnation of an ID replaces an earlier one immediately, whatever
+// the state of either, and messages of earlier incarnations have no effect.
+// Servers that report no start time must use a new ID for each start. Owned by
+// the directory controller, under its lock.
 class Registrar
 {
 public:
-  // So many further heartbeats show that a server is running although it was
-  // taken for gone: by a late message of another id, or by a leave message that
-  // does not say which start it is of.
-  static constexpr int kHeartbeatsToReturn = 3;
+  // Number of further heartbeats after which a server that was considered
+  // stopped is used again. A delayed message of another ID, or a leave message
+  // without a start time, can make a running server look stopped.
+  static constexpr int kHeartbeatsToReinstate = 3;
 
-  // Goes on from what an earlier incarnation of this box had recorded.
+  // Restores the server that an earlier incarnation of this box recorded.
   void Restore(const ServerRecord& aServer);
 
   RegistrarVerdict Take(const ServerMessage& aMessage);
@@ -50,7 +51,7 @@
   struct EarlierServer
   {
     ServerRecord mServer;
-    int mHeartbeats = 0; // since it was taken for gone
+    int mHeartbeats = 0; // since it was considered stopped
   };
 
   RegistrarVerdict TakeSameId(const ServerRecord& aServer);
@@ -61,8 +62,8 @@
   void Retire();
 
   std::optional<ServerRecord> mServer;
-  // The leave message of mServer named no start, though the server has one.
-  bool mLeftWithoutStart = false;
+  // mServer has a start time, but its leave message had none.
+  bool mLeftWithoutStartTime = false;
   int mHeartbeatsSinceLeft = 0;
   std::map<BackendServerName, EarlierServer> mEarlier;
 };
--- a/packages/config/include/porttiller/config/Resources.h
+++ b/packages/config/include/porttiller/config/Resources.h
@@ -1,5 +1,5 @@
-// The objects that operators and the platform write, in their typed form.
-// docs/API.md describes each field.
+// Typed form of the configuration objects that operators and the platform
+// write. docs/API.md describes the fields.
 #pragma once
 
 #include "porttiller/config/FieldReader.h"
@@ -16,7 +16,8 @@
 
 namespace porttiller {
 
-// "careful" weighs false ejections more, "fast" weighs detection time more.
+// How a service detects failing servers: "careful" minimizes false ejections,
+// "fast" minimizes detection time.
 enum class DetectionSetting
 {
   kCareful,
@@ -26,16 +27,16 @@
 struct ServiceSpec
 {
   ServiceName mName;
-  // Slots of healthy capacity that ejections must leave.
+  // Minimum capacity, in slots, that ejections must leave to the service.
   int mFloorSlots = 0;
   DetectionSetting mDetection = DetectionSetting::kCareful;
-  // For requests that carry no deadline of their own.
+  // For requests without a deadline.
   Millis mDefaultDeadline{ 5000 };
-  // Retries as a share of first attempts.
+  // Allowed retries, as a percentage of first attempts.
   int mRetryPercent = 20;
-  // Retries that the whole fleet may make beyond that share, in a few seconds.
+  // Additional retries that the whole fleet may make within a few seconds.
   int mRetryBurst = 50;
-  // Where a backend server answers health checks; empty: it has none.
+  // Path of the health check of a backend server; empty: no health checks.
   std::string mHealthPath;
 
   friend auto operator<=>(const ServiceSpec&, const ServiceSpec&) = default;
@@ -46,11 +47,12 @@
   BackendServerName mName;
   ServiceName mService;
   BoxName mBox;
-  std::string mAddress; // "ip:port", reached from its own box
-  int mSlots = 1;       // requests that it runs at once
-  int mConnections = 1;
-  bool mLeaving = false; // finishes what it has and takes nothing new
-  // Of its start, by its own clock; null where servers do not report it.
+  std::string mAddress;  // "ip:port", connected to only from its own box
+  int mSlots = 1;        // requests that it runs concurrently
+  int mConnections = 1;  // limit of open connections to it
+  bool mLeaving = false; // finishes its requests and gets no new ones
+  // Its start time in Unix milliseconds, by its own clock; null if the server
+  // does not report it.
   std::optional<std::int64_t> mStartMs;
 
   ServerIncarnation Incarnation() const
@@ -62,7 +64,7 @@
                           const BackendServerSpec&) = default;
 };
 
-// A part of a route's requests.
+// A service that receives a share of a route's requests.
 struct RouteTarget
 {
   ServiceName mService;
@@ -75,19 +77,20 @@
 {
   std::string mName;
   std::string mHost; // lower case, without a port; empty: any host
-  // Whole segments: "/a" matches "/a" and "/a/b", and "/a/" only the latter.
+  // Matches whole segments: "/a" matches "/a" and "/a/b", "/a/" matches "/a/b"
+  // but not "/a".
   std::string mPathPrefix;
   std::vector<std::string> mMethods; // empty: every method
   std::vector<RouteTarget> mTargets; // at least one
   Priority mPriority = Priority::kNormal;
-  // Null: GET and HEAD are repeatable and nothing else is.
+  // Whether requests are idempotent. Null: only GET and HEAD are.
   std::optional<bool> mRepeatable;
-  // The longest that a request is held; null: as long as its caller waits.
+  // Upper limit of a request's time; null: the caller's deadline applies.
   std::optional<Millis> mTimeout;
-  // An answer within this time is worth the most; null: nothing is known.
+  // Latency target; null: none is set.
   std::optional<Millis> mTarget;
-  int mMaxAttempts = 0; // backend servers for one request; 0: no limit here
-  bool mPublic = false; // asks nobody for a key
+  int mMaxAttempts = 0; // backend servers tried per request; 0: no limit
+  bool mPublic = false; // requires no API key
 
   friend auto operator<=>(const RouteSpec&, const RouteSpec&) = default;
 };
@@ -98,40 +101,40 @@
   kLeaving
 };
 
-// A line of the platform's lagging list of boxes.
+// An entry of the platform's list of boxes, which may be out of date.
 struct BoxSpec
 {
   BoxName mName;
   AvailabilityZone mZone;
-  std::string mHomeAddress;    // "ip:port", HTTP from other boxes
-  std::string mControlAddress; // "ip:port", ZeroMQ
+  std::string mHomeAddress;    // "ip:port" for HTTP from other boxes
+  std::string mControlAddress; // "ip:port" for ZeroMQ
   BoxState mState = BoxState::kLive;
 
   friend auto operator<=>(const BoxSpec&, const BoxSpec&) = default;
 };
 
-// What callers may send, and how long they may take. One object, "callers".
+// Size and time limits for callers. The only object of this kind is "callers".
 struct LimitsSpec
 {
   int mMaxHeaderBytes = 0;
   int mMaxBodyBytes = 0;
-  Millis mHeaderTimeout{ 0 }; // from the first byte of a request to its last
+  Millis mHeaderTimeout{ 0 }; // from the first to the last byte of a request
   Millis mIdleTimeout{ 0 };   // of a connection between two requests
 
   friend auto operator<=>(const LimitsSpec&, const LimitsSpec&) = default;
 };
 
-// Whose requests these are, and how many there may be. Keys are secrets: they
-// go into no log, dump, metric or error.
+// A customer account with its API keys and rate limit. API keys are secrets and
+// must not appear in logs, dumps, metrics or errors.
 struct WorkspaceSpec
 {
   WorkspaceName mName;
-  std::vector<std::string> mKeys;
-  // Goes before the route's; null: the route's alone decides.
+  std::vector<std::string> mKeys; // API keys
+  // Overrides the priority of the route; null: the route's priority applies.
   std::optional<Priority> mPriority;
-  // Of all boxes together; 0: no limit.
+  // Limit over all boxes; 0: no limit.
   double mRatePerSecond = 0.0;
-  double mBurst = 0.0; // requests besides, after a rest
+  double mBurst = 0.0; // additional requests after an idle period
 
   bool Limited() const { return mRatePerSecond > 0.0; }
 
@@ -152,11 +155,12 @@
 inline constexpr const char* kLimitsKind = "Limits";
 inline constexpr const char* kWorkspaceKind = "Workspace";
 
-// True for the six kinds above; other kinds are no configuration.
+// Whether aKind is one of the six kinds above.
 bool
 IsConfigKind(const std::string& aKind);
 
-// Checks one object by itself. Paths in the errors start at "spec".
+// Parses and validates one object, without its references to other objects.
+// Paths in errors start with "spec".
 tl::expected<Resource, FieldErrors>
 ParseResource(const std::string& aKind,
               const std::string& aName,
--- a/packages/config/include/porttiller/config/RouteTable.h
+++ b/packages/config/include/porttiller/config/RouteTable.h
@@ -1,4 +1,4 @@
-// Finds the route of a request by its longest path prefix.
+// Finds the route of a request by the longest matching path prefix.
 #pragma once
 
 #include "porttiller/config/Resources.h"
@@ -18,9 +18,9 @@
   void Add(const RouteSpec& aRoute);
 
   // aHost is in lower case and without a port; aPath is the decoded path
-  // without its query. Routes of the host go before those for any host, and
-  // longer prefixes before shorter ones. Cost: a few hash look-ups for each
-  // segment, whatever the number of routes. Null when none matches.
+  // without its query. Routes of the host take precedence over routes for any
+  // host, and longer prefixes over shorter ones. Takes a few hash look-ups per
+  // path segment, independent of the number of routes. Null if none matches.
   const RouteSpec* Find(std::string_view aHost,
                         std::string_view aMethod,
                         std::string_view aPath) const;
@@ -30,12 +30,12 @@
 private:
   const RouteSpec* FindAt(const std::string& aKey,
                           std::string_view aMethod) const;
-  const RouteSpec* FindOfHost(std::string_view aHost,
-                              std::string_view aMethod,
-                              std::string_view aPath) const;
+  const RouteSpec* FindForHost(std::string_view aHost,
+                               std::string_view aMethod,
+                               std::string_view aPath) const;
 
   std::unordered_map<std::string, std::vector<RouteSpec>>
-    mByKey; // host and prefix
+    mByKey; // by host and prefix
   std::size_t mSize = 0;
 };
 
--- a/packages/config/include/porttiller/config/Settings.h
+++ b/packages/config/include/porttiller/config/Settings.h
@@ -1,4 +1,5 @@
-// The settings of one daemon, from its JSON file. docs/CONFIG.md has each key.
+// The settings of a daemon, from its JSON file. docs/CONFIG.md describes the
+// keys.
 #pragma once
 
 #include "porttiller/config/FieldReader.h"
@@ -11,18 +12,18 @@
 
 namespace porttiller {
 
-// What the machine gives this process; zero: not told.
+// Resources of the machine for this process; zero: unknown.
 struct ResourceSettings
 {
   double mMemoryMb = 0.0;
-  double mDescriptors = 0.0;
+  double mDescriptors = 0.0; // file descriptors
 };
 
 struct CallerSettings
 {
   std::string mAddress = "127.0.0.1:8080";
-  int mThreads = 128;      // requests served at once
-  int mConnections = 2048; // open at once
+  int mThreads = 128;      // requests served concurrently
+  int mConnections = 2048; // open concurrently
   int mMaxBodyBytes = 1 << 20;
   int mMaxHeaders = 100;
   int mMaxHeaderBytes = 16 << 10;
@@ -32,57 +33,60 @@
 {
   std::string mHomeAddress = "127.0.0.1:8081";
   std::string mControlAddress = "127.0.0.1:8082";
-  int mThreads = 256;
-  int mConnections = 2048; // from other boxes, open at once
+  int mThreads = 256;      // requests served concurrently
+  int mConnections = 2048; // from other boxes, open concurrently
   int mConnectionsPerBox = 16;
-  // Control addresses asked for the configuration while the platform is away.
+  // Control addresses of boxes that are asked for the configuration while the
+  // platform is unavailable.
   std::vector<std::string> mSeeds;
-  // The boxes of mSeeds take control messages at this port, whatever port is
-  // given there; 0: at the one that is given.
+  // If not 0, replaces the port of each address in mSeeds.
   int mSeedPort = 0;
   Millis mConnectTimeout{ 150 };
-  // Sent bytes that a box leaves unacknowledged for so long end a connection.
+  // A connection to a box is closed when sent data stays unacknowledged this
+  // long (TCP_USER_TIMEOUT).
   Millis mUserTimeout{ 700 };
 };
 
-// How the platform and callers speak to this daemon.
+// The protocol between this daemon and the platform and callers.
 enum class Dialect
 {
   kNative, // docs/API.md
-  kMesh    // the users' machines; only platform/ knows its words
+  kMesh    // the users' platform; implemented in platform/ only
 };
 
-// What a home does with a backend server that fails.
+// How a home handles a failing backend server.
 enum class FailingServers
 {
-  kEject, // by the ejection machine, with permissions from the platform
-  kBreak  // by the circuit breaker, which asks nobody
+  kEject, // ejects it, with permission from the platform
+  kBreak  // uses a circuit breaker, without asking the platform
 };
 
-// Where backend servers tell about themselves; empty: operators list them.
+// Registration of backend servers. Without an address, operators list them.
 struct RegistrationSettings
 {
   std::string mAddress;
-  // No earlier life of this box may have left anything behind.
+  // This is the first start of the box: no earlier incarnation can have stored
+  // anything.
   bool mFirstStart = false;
 };
 
-// Where the platform asks whether callers may send; empty: nowhere.
+// Where the platform checks whether this box accepts requests from callers.
+// Without an address, there is no such check.
 struct ReadinessSettings
 {
   std::string mAddress;
   std::string mPath = "/ready";
 };
 
-// Bounds that hold for the whole fleet, whatever a service's spec says.
+// Retry limits for the whole fleet, which also bound those of each service.
 struct RetrySettings
 {
-  double mShare = 1.0; // of the first attempts
-  double mBurst = 1'000'000;
-  Millis mWindow{ 10'000 }; // that share and burst hold for
+  double mShare = 1.0;       // retries per first attempt
+  double mBurst = 1'000'000; // additional retries per window
+  Millis mWindow{ 10'000 };  // for which share and burst apply
 };
 
-// How exactly the limits of workspaces have to be kept: in no window more than
+// Tolerance for the rate limits of workspaces: no window may have more than
 // (rate x window + burst) x (1 + mOver) + mSlack requests.
 struct WorkspaceLimitSettings
 {
@@ -93,15 +97,17 @@
 
 struct TimingSettings
 {
-  Millis mDrain{ 10'000 }; // bound of a planned stop
-  // After the start of a planned stop callers may still send for so long.
+  Millis mDrain{ 10'000 }; // limit for a planned shutdown
+  // Requests from callers are still accepted for this time after the start of a
+  // planned shutdown.
   Millis mDrainNotice{ 300 };
-  // A change of the configuration is to be in force everywhere this long after
+  // A configuration change must be in force on all boxes within this time after
   // the platform has acknowledged it.
   Millis mApply{ 4000 };
   Millis mProbeInterval{ 1000 };
   Millis mProbeTimeout{ 300 };
-  Millis mAttemptPatience{ 1000 }; // until the home is asked about an attempt
+  // Time until the home is asked for the state of an attempt.
+  Millis mAttemptPatience{ 1000 };
   Millis mRevokeTimeout{ 200 };
 };
 
@@ -115,7 +121,7 @@
   std::string mPlatformAddress;
   Dialect mDialect = Dialect::kNative;
   FailingServers mFailingServers = FailingServers::kEject;
-  ServiceName mService; // of the backend server on this box; may be empty
+  ServiceName mService; // of the backend server of this box; may be empty
   RegistrationSettings mRegistration;
   ReadinessSettings mReadiness;
   RetrySettings mRetries;
@@ -125,15 +131,15 @@
   TimingSettings mTiming;
 };
 
-// The control addresses of the seeds.
+// The control addresses of the seeds, with mSeedPort applied.
 std::vector<std::string>
 SeedAddresses(const Settings& aSettings);
 
-// Checks every key and reports all errors at once.
+// Validates all keys and returns all errors.
 tl::expected<Settings, FieldErrors>
 ParseSettings(const std::string& aText);
 
-// The values in force, as a settings file.
+// Prints the effective values in the form of a settings file.
 std::string
 ToJsonText(const Settings& aSettings);
 
--- a/packages/config/include/porttiller/config/Snapshot.h
+++ b/packages/config/include/porttiller/config/Snapshot.h
@@ -1,4 +1,5 @@
-// The configuration in force: typed, cross-checked, and switched in one step.
+// The configuration in force: typed, with checked references, and replaced
+// atomically.
 #pragma once
 
 #include "porttiller/config/BoxRecord.h"
@@ -19,7 +20,7 @@
   std::vector<BackendServerSpec> mServers;
 };
 
-// A version that did not pass; the object's last good version stays in force.
+// An invalid version of an object. The last valid version stays in force.
 struct Rejection
 {
   ObjectKey mKey;
@@ -29,22 +30,23 @@
   friend bool operator==(const Rejection&, const Rejection&) = default;
 };
 
-// Immutable and shared by const reference between all threads.
+// Immutable; shared by all threads.
 struct Snapshot
 {
   std::uint64_t mRevision = 0;
   std::uint64_t mDigest = 0;
-  // Tells snapshots of a builder apart, also of one revision; 0: none.
+  // Unique among the snapshots of a builder, even at the same revision; 0 if
+  // not made by a builder.
   std::uint64_t mSerial = 0;
   std::map<ServiceName, ServiceEntry> mServices;
   std::map<BoxName, BoxSpec> mBoxes;
   RouteTable mRoutes;
-  // Never null; shared with earlier snapshots while it is the same.
+  // Never null; shared with earlier snapshots while unchanged.
   std::shared_ptr<const WorkspaceTable> mWorkspaces =
     std::make_shared<const WorkspaceTable>();
   std::vector<Rejection> mRejections;
   std::optional<LimitsSpec> mLimits;
-  // Boxes that told about themselves, by their incarnations.
+  // Incarnations of the boxes that registered themselves.
   std::map<BoxName, Incarnation> mIncarnations;
 
   const ServiceEntry* FindService(const ServiceName& aName) const;
@@ -53,13 +55,13 @@
 
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
-// Keeps each object's last good typed form and builds snapshots from them.
-// Owned by the configuration controller, under its lock.
+// Keeps the last valid typed form of each object and builds snapshots from
+// them. Owned by the configuration controller, under its lock.
 class SnapshotBuilder
 {
 public:
-  // Takes over the keys that changed in aObjects; parses nothing else.
-  // aDirectory adds the boxes and servers that told about themselves.
+  // Parses the objects of aObjects with the keys in aChanged, and no others.
+  // aDirectory adds the boxes and servers that registered themselves.
   SnapshotPtr Build(const ObjectSet& aObjects,
                     const std::vector<ObjectKey>& aChanged,
                     const std::vector<BoxRecord>& aDirectory = {});
@@ -70,11 +72,11 @@
   void TakeWorkspaces(const ObjectSet& aObjects,
                       const std::vector<ObjectKey>& aChanged);
 
-  std::map<ObjectKey, Resource> mGood; // but for workspaces
+  std::map<ObjectKey, Resource> mGood; // without workspaces
   std::shared_ptr<const WorkspaceTable> mWorkspaces =
     std::make_shared<const WorkspaceTable>();
   std::map<ObjectKey, Rejection> mRejected;
-  std::uint64_t mSerials = 0; // given out
+  std::uint64_t mLastSerial = 0; // of the newest snapshot
 };
 
 } // namespace porttiller
--- a/packages/config/include/porttiller/config/StoreMessages.h
+++ b/packages/config/include/porttiller/config/StoreMessages.h
@@ -1,5 +1,5 @@
-// Calls to the platform's store and what its answers hold, whatever dialect
-// the store speaks.
+// Requests to the platform's store and its decoded responses, independent of
+// the dialect of the store.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -13,19 +13,20 @@
 struct StoreCall
 {
   std::string mMethod;
-  std::string mPath;            // with its query
-  std::string mBody;            // JSON; none when empty
+  std::string mPath;            // with query
+  std::string mBody;            // JSON; empty: no body
   std::uint64_t mIfVersion = 0; // sent as If-Match; 0: not sent
 };
 
-// A part of a list; the next one begins after mNext unless that is empty.
+// One page of a list. The next page starts after the name mNext; empty: this is
+// the last page.
 struct ObjectPage
 {
   ObjectDelta mDelta;
   std::string mNext;
 };
 
-// What is wrong with an answer.
+// Describes why a message could not be decoded.
 struct DialectError
 {
   std::string mDetail;
--- a/packages/config/include/porttiller/config/UnreadableObject.h
+++ b/packages/config/include/porttiller/config/UnreadableObject.h
@@ -1,4 +1,5 @@
-// An object of the platform's store, or a peer's record, that cannot be read.
+// Describes an object of the platform's store, or a record from a peer, that
+// cannot be decoded.
 #pragma once
 
 #include <compare>
@@ -11,13 +12,13 @@
 
 enum class UnreadableReason
 {
-  kItem,     // no object with metadata
-  kName,     // no name, or not a string
-  kVersion,  // no version, or not a number
-  kSpec,     // the contents are missing or wrong
-  kOwner,    // its name is not one that its contents may have
-  kDocument, // the operator's configuration document is wrong
-  kMessage   // in a control message
+  kItem,     // not an object with metadata
+  kName,     // name missing or not a string
+  kVersion,  // version missing or not a number
+  kSpec,     // contents missing or invalid
+  kOwner,    // the object's name does not match its contents
+  kDocument, // the operator's configuration document is invalid
+  kMessage   // object in a control message
 };
 
 inline constexpr int kUnreadableReasonCount = 7;
@@ -25,13 +26,13 @@
 const char*
 ToText(UnreadableReason aReason);
 
-// Another writer's, most likely: it is left out and counted, and what stands
-// beside it is used.
+// Most likely written by another program. It is skipped and counted, and the
+// other objects are used.
 struct UnreadableObject
 {
   std::string mKind;
-  std::string mName;          // empty: cannot be read
-  std::uint64_t mVersion = 0; // 0: cannot be read
+  std::string mName;          // empty: unreadable
+  std::uint64_t mVersion = 0; // 0: unreadable
   UnreadableReason mReason = UnreadableReason::kItem;
   std::string mDetail;
 
@@ -39,7 +40,7 @@
                           const UnreadableObject&) = default;
 };
 
-// Called with objects that were left out; the list may be empty.
+// Called with the objects that were skipped; the list may be empty.
 using UnreadableListener =
   std::function<void(const std::vector<UnreadableObject>&)>;
 
--- a/packages/config/include/porttiller/config/WorkspaceTable.h
+++ b/packages/config/include/porttiller/config/WorkspaceTable.h
@@ -1,4 +1,4 @@
-// Finds the workspace of a key.
+// Finds the workspace of an API key.
 #pragma once
 
 #include "porttiller/config/Resources.h"
@@ -16,37 +16,37 @@
 
 using WorkspacePtr = std::shared_ptr<const WorkspaceSpec>;
 
-// Two workspaces that list the same key.
-struct KeyClash
+// Two workspaces that list the same API key.
+struct KeyConflict
 {
-  WorkspaceName mHolder; // the first by name: the key is its own
+  WorkspaceName mHolder; // the first by name, to which the API key belongs
   WorkspaceName mOther;
 
-  friend auto operator<=>(const KeyClash&, const KeyClash&) = default;
+  friend auto operator<=>(const KeyConflict&, const KeyConflict&) = default;
 };
 
-// A value: copies share every part that neither of them has changed since, so
-// one change costs the copy of a few shards. Part of a Snapshot.
+// Copy-on-write: copies share all shards that neither has changed since, so a
+// change copies only a few shards. Part of a Snapshot.
 class WorkspaceTable
 {
 public:
-  // One look-up, whatever the number of workspaces. Null when nobody holds the
-  // key.
+  // Takes one look-up, independent of the number of workspaces. Null if no
+  // workspace has the API key.
   WorkspacePtr FindByKey(const std::string& aKey) const;
   WorkspacePtr Find(const WorkspaceName& aName) const;
   bool Empty() const { return mSize == 0; }
   std::size_t Size() const { return mSize; }
 
-  // In place of what is held of this workspace.
+  // Adds the workspace or replaces its current spec.
   void Put(const WorkspaceSpec& aSpec);
   void Remove(const WorkspaceName& aName);
 
-  std::vector<KeyClash> Clashes() const;
+  std::vector<KeyConflict> Conflicts() const;
 
 private:
   static constexpr std::size_t kShards = 256;
 
-  // In the order of their names; nearly always one.
+  // Workspaces with the same API key, by name; nearly always one.
   using Holders = std::vector<WorkspacePtr>;
   using KeyShard = std::unordered_map<std::string, Holders>;
   using NameShard = std::unordered_map<std::string, WorkspacePtr>;
@@ -56,10 +56,10 @@
   void AddHolder(const std::string& aKey, const WorkspacePtr& aHolder);
   void RemoveHolder(const std::string& aKey, const WorkspaceName& aName);
 
-  Shards<KeyShard> mByKey; // null: empty
+  Shards<KeyShard> mByKey; // null shards are empty
   Shards<NameShard> mByName;
   std::size_t mSize = 0;
-  std::set<std::string> mContested; // keys with several holders
+  std::set<std::string> mConflictingKeys; // API keys of several workspaces
 };
 
 } // namespace porttiller
--- a/packages/config/src/BoxRecord.cpp
+++ b/packages/config/src/BoxRecord.cpp
@@ -12,6 +12,7 @@
 
 constexpr const char* kSpareSuffix = "~1";
 constexpr std::array kStates = { "ready", "draining", "left" };
+// Leaves the box 2^32 further revisions for its own changes.
 constexpr std::uint64_t kMaxRevision =
   std::numeric_limits<std::uint64_t>::max() - (std::uint64_t{ 1 } << 32);
 constexpr IntegerRange kSlots{ .mMin = 1, .mMax = 100'000 };
@@ -27,13 +28,13 @@
   return std::nullopt;
 }
 
-// 64-bit numbers are text: JSON readers may not keep them.
+// 64-bit numbers are strings, because JSON parsers may lose their precision.
 std::uint64_t
 ReadNumber(FieldReader& aReader, const std::string& aName)
 {
   const auto number = ParseUnsigned(aReader.String(aName));
   if (!number) {
-    aReader.Fail(aName, "must be a decimal number as text");
+    aReader.Fail(aName, "must be a string with a decimal number");
   }
   return number.value_or(0);
 }
@@ -54,9 +55,9 @@
 {
   const BackendServerName id(aReader.String("id"));
   if (!id.Empty() && !IsToken(id.Value())) {
-    aReader.Fail("id", "must be printable ASCII without blanks");
+    aReader.Fail("id", "must be printable ASCII without spaces");
   }
-  // Absent in records of servers that do not report it.
+  // Absent if the server does not report it.
   const auto start =
     aReader.Has("start_ms") ? std::optional(ReadStart(aReader)) : std::nullopt;
   ServerRecord server{ .mIncarnation = ServerIncarnation(id, start) };
@@ -147,7 +148,7 @@
   if (aObject.mKey != BoxRecordKey(box, BoxRecordPlace::kUsual) &&
       aObject.mKey != BoxRecordKey(box, BoxRecordPlace::kSpare)) {
     unreadable.mReason = UnreadableReason::kOwner;
-    unreadable.mDetail = "the contents are of box " + box.Value();
+    unreadable.mDetail = "the contents belong to box " + box.Value();
     return tl::make_unexpected(std::move(unreadable));
   }
   return *record;
@@ -188,12 +189,12 @@
   record.mIncarnation = Incarnation(ReadNumber(reader, "incarnation"));
   record.mRevision = ReadNumber(reader, "revision");
   if (record.mRevision > kMaxRevision) {
-    reader.Fail("revision", "leaves its box no room to raise it");
+    reader.Fail("revision", "is too high for the box to increment it");
   }
   if (reader.Has("server")) {
     record.mServer = ReadServer(reader.Child("server"));
   }
-  // Unknown keys are a later version's and are passed over.
+  // Unknown keys are ignored, because later versions may add keys.
   if (!errors.empty()) {
     return tl::make_unexpected(std::move(errors));
   }
--- a/packages/config/src/Directory.cpp
+++ b/packages/config/src/Directory.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// The digest of a directory is the xor over its records.
+// The digest of a directory is the XOR of these, so it does not depend on
+// order.
 std::uint64_t
 DigestOf(const BoxRecord& aRecord)
 {
--- a/packages/config/src/JsonText.cpp
+++ b/packages/config/src/JsonText.cpp
@@ -11,12 +11,14 @@
 
 namespace {
 
-// The parser and the values that it makes recurse once for each level.
+// Maximum nesting. The parser and its values recurse once per level, so deeper
+// text could overflow the stack.
 constexpr std::size_t kMaxDepth = 64;
 
-// POCO's parser drops block comments only; blanks line comments for it.
+// Replaces line comments with spaces: POCO's parser supports only block
+// comments.
 std::string
-WithoutLineComments(std::string aText)
+BlankLineComments(std::string aText)
 {
   bool inString = false;
   bool inComment = false;
@@ -43,7 +45,7 @@
 }
 
 bool
-Fits(std::string_view aNumber)
+FitsIn64Bits(std::string_view aNumber)
 {
   const auto* end = aNumber.data() + aNumber.size();
   const auto readsAs = [&](auto aValue) {
@@ -54,10 +56,10 @@
               : readsAs(std::int64_t{}) || readsAs(std::uint64_t{});
 }
 
-// The first number at or behind aFrom that no 64-bit type can hold; empty when
-// there is none. POCO's parser takes some of them for others.
+// The first number at or after aFrom that does not fit a 64-bit type; empty if
+// there is none. POCO's parser reads some of these as other values.
 std::string_view
-FindUnfitNumber(std::string_view aText, std::size_t aFrom = 0)
+FindOutOfRangeNumber(std::string_view aText, std::size_t aFrom = 0)
 {
   bool inString = false;
   for (auto i = aFrom; i < aText.size(); ++i) {
@@ -68,7 +70,7 @@
     } else if (!inString && (aText[i] == '-' || IsDigit(aText[i]))) {
       const auto end = aText.find_first_not_of("+-.0123456789eE", i);
       const auto number = aText.substr(i, end - i);
-      if (!Fits(number)) {
+      if (!FitsIn64Bits(number)) {
         return number;
       }
       i += number.size() - 1;
@@ -84,8 +86,8 @@
 {
   constexpr std::string_view kNull = "null";
   std::size_t from = 0;
-  for (auto number = FindUnfitNumber(aText); !number.empty();
-       number = FindUnfitNumber(aText, from)) {
+  for (auto number = FindOutOfRangeNumber(aText); !number.empty();
+       number = FindOutOfRangeNumber(aText, from)) {
     const auto at = static_cast<std::size_t>(number.data() - aText.data());
     aText.replace(at, number.size(), kNull);
     from = at + kNull.size();
@@ -96,10 +98,10 @@
 tl::expected<Poco::JSON::Object::Ptr, FieldErrors>
 ParseJsonObject(const std::string& aText)
 {
-  const auto text = WithoutLineComments(aText);
-  if (const auto unfit = FindUnfitNumber(text); !unfit.empty()) {
-    return tl::make_unexpected(
-      FieldErrors{ { "(document)", "has a number that is out of range" } });
+  const auto text = BlankLineComments(aText);
+  if (const auto outOfRange = FindOutOfRangeNumber(text); !outOfRange.empty()) {
+    return tl::make_unexpected(FieldErrors{
+      { "(document)", "contains a number that is out of range" } });
   }
   try {
     Poco::JSON::Parser parser;
@@ -113,7 +115,7 @@
     return value.extract<Poco::JSON::Object::Ptr>();
   } catch (const Poco::Exception& e) {
     return tl::make_unexpected(
-      FieldErrors{ { "(document)", "is not JSON: " + e.displayText() } });
+      FieldErrors{ { "(document)", "is not valid JSON: " + e.displayText() } });
   }
 }
 
--- a/packages/config/src/ObjectSet.cpp
+++ b/packages/config/src/ObjectSet.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// Order does not matter: the digest of a set is the xor over its objects. Two
-// nodes may know a content since different revisions, so it counts alone.
+// The digest of a set is the XOR of these, so it does not depend on order. It
+// leaves out versions, because nodes may have received the same contents of a
+// document at different revisions.
 std::uint64_t
 DigestOf(const Object& aObject)
 {
@@ -47,16 +48,17 @@
   if (aDelta.mTo <= mRevision) {
     return tl::make_unexpected(ApplyError::kStale);
   }
-  // The sender may never have seen what a document held in between.
-  const bool joins =
+  // For a document, the sender may have missed contents between its revisions,
+  // so the delta must start exactly at the revision of this set.
+  const bool isContiguous =
     aDelta.mOfDocument ? aDelta.mFrom == mRevision : aDelta.mFrom <= mRevision;
-  if (!aDelta.mFull && !joins) {
+  if (!aDelta.mFull && !isContiguous) {
     return tl::make_unexpected(ApplyError::kGap);
   }
   std::vector<ObjectKey> changed;
   for (const auto& object : aDelta.mObjects) {
-    // What differs in a whole document is new here, since whenever the sender
-    // may know it.
+    // Objects that a complete document changes are new here as of its revision,
+    // even if the sender has known them for longer.
     const bool isNew = aDelta.mFull && aDelta.mOfDocument;
     const auto version = isNew ? aDelta.mTo : object.mVersion;
     Put(object, version, aDelta.mOfDocument, changed);
@@ -66,12 +68,12 @@
   }
   mRevision = aDelta.mTo;
   TrimTombstones();
-  NoteHeld(aDelta.mOfDocument);
+  RecordRevision(aDelta.mOfDocument);
   return changed;
 }
 
 void
-ObjectSet::NoteHeld(bool aOfDocument)
+ObjectSet::RecordRevision(bool aOfDocument)
 {
   mOfDocument = aOfDocument;
   mHeld.insert(mRevision);
@@ -80,13 +82,13 @@
   }
 }
 
-// Whether what has changed since aFrom is known here.
+// Whether all changes after aFrom are known.
 bool
 ObjectSet::CoversFrom(std::uint64_t aFrom) const
 {
   const bool known =
     !mOfDocument || aFrom >= mRevision || mHeld.contains(aFrom);
-  return known && aFrom >= mCompacted;
+  return known && aFrom >= mCompactedRevision;
 }
 
 void
@@ -103,7 +105,8 @@
   const bool same =
     live && !aObject.mDeleted && held.mSpecJson == aObject.mSpecJson;
   if (same && aOfDocument) {
-    return; // known since its earlier version: whoever held that has it
+    // Keeps the earlier version: nodes that held it have these contents.
+    return;
   }
   if (live) {
     mDigest ^= DigestOf(held);
@@ -138,24 +141,25 @@
       mDigest ^= DigestOf(it->second);
       aChanged.push_back(it->first);
     }
-    it = aFull.mOfDocument ? Bury(it, aFull.mTo) : Forget(it);
+    it = aFull.mOfDocument ? ReplaceWithTombstone(it, aFull.mTo) : Erase(it);
   }
   if (!aFull.mOfDocument || mRevision == 0) {
-    // Deletions up to here are not known one by one.
-    mCompacted = aFull.mTo;
+    // The individual deletions up to this revision are unknown.
+    mCompactedRevision = aFull.mTo;
   }
 }
 
 ObjectSet::Objects::iterator
-ObjectSet::Forget(Objects::iterator aObject)
+ObjectSet::Erase(Objects::iterator aObject)
 {
   mTombstones.erase({ aObject->second.mVersion, aObject->first });
   return mObjects.erase(aObject);
 }
 
-// Leaves a tombstone in place of an object that a document has no more.
+// Replaces an object that the document no longer has with a tombstone.
 ObjectSet::Objects::iterator
-ObjectSet::Bury(Objects::iterator aObject, std::uint64_t aVersion)
+ObjectSet::ReplaceWithTombstone(Objects::iterator aObject,
+                                std::uint64_t aVersion)
 {
   auto& object = aObject->second;
   if (!object.mDeleted) {
@@ -173,7 +177,7 @@
 {
   while (mTombstones.size() > mOptions.mMaxTombstones) {
     const auto oldest = mTombstones.begin();
-    mCompacted = std::max(mCompacted, oldest->first);
+    mCompactedRevision = std::max(mCompactedRevision, oldest->first);
     mObjects.erase(oldest->second);
     mTombstones.erase(oldest);
   }
--- a/packages/config/src/Registrar.cpp
+++ b/packages/config/src/Registrar.cpp
@@ -7,29 +7,31 @@
 namespace {
 
 RegistrarVerdict
-VerdictOn(ServerState aState)
+VerdictFor(ServerState aState)
 {
   return aState == ServerState::kReady ? RegistrarVerdict::kNewServer
                                        : RegistrarVerdict::kLeaving;
 }
 
-// A leave message that is the first one of its start carries no address.
+// True for a leave message that is the first message of its incarnation. Such a
+// message carries no address.
 bool
-IsBareLeave(const ServerRecord& aServer)
+IsLeaveWithoutAddress(const ServerRecord& aServer)
 {
   return aServer.mState == ServerState::kLeft && aServer.mAddress.empty();
 }
 
-// A record that was read after messages of the same id had come.
+// Updates a stored record with messages of the same ID that arrived before it
+// was read.
 ServerRecord
-Updated(ServerRecord aRecord, const ServerRecord& aMessages)
+WithMessages(ServerRecord aRecord, const ServerRecord& aMessages)
 {
   if (aMessages.mIncarnation.Supersedes(aRecord.mIncarnation)) {
     aRecord.mIncarnation = aMessages.mIncarnation;
     aRecord.mState = aMessages.mState;
     aRecord.mSequence = aMessages.mSequence;
   } else if (aMessages.mIncarnation == aRecord.mIncarnation) {
-    // A state that was acknowledged is never taken back.
+    // An acknowledged state is never reverted.
     aRecord.mState = std::max(aRecord.mState, aMessages.mState);
     aRecord.mSequence = std::max(aRecord.mSequence, aMessages.mSequence);
   }
@@ -44,18 +46,19 @@
   const auto& id = aServer.mIncarnation.Id();
   if (mServer && mServer->mIncarnation.Id() == id) {
     const bool later = aServer.mIncarnation.Supersedes(mServer->mIncarnation);
-    mServer = later ? aServer : Updated(*mServer, aServer);
+    mServer = later ? aServer : WithMessages(*mServer, aServer);
     return;
   }
   const auto it = mEarlier.find(id);
   const auto record =
-    it == mEarlier.end() ? aServer : Updated(aServer, it->second.mServer);
+    it == mEarlier.end() ? aServer : WithMessages(aServer, it->second.mServer);
   if (!mServer) {
     mServer = record;
     mEarlier.erase(id);
     return;
   }
-  // The one that has sent messages to this incarnation of the box is the later.
+  // The server that has already sent messages to this incarnation of the box is
+  // the later one.
   mEarlier[id].mServer = record;
 }
 
@@ -71,9 +74,9 @@
 Registrar::Replace(const ServerRecord& aServer)
 {
   mServer = aServer;
-  mLeftWithoutStart = false;
+  mLeftWithoutStartTime = false;
   mHeartbeatsSinceLeft = 0;
-  return VerdictOn(aServer.mState);
+  return VerdictFor(aServer.mState);
 }
 
 RegistrarVerdict
@@ -87,8 +90,8 @@
   if (const auto it = mEarlier.find(id); it != mEarlier.end()) {
     return TakeEarlier(it->second, server);
   }
-  if (IsBareLeave(server)) {
-    // It leaves before its first heartbeat came: nothing may use it.
+  if (IsLeaveWithoutAddress(server)) {
+    // It left before its first heartbeat arrived and must never be used.
     mEarlier[id].mServer = server;
     return RegistrarVerdict::kNothingNew;
   }
@@ -105,7 +108,7 @@
 {
   const auto& held = mServer->mIncarnation;
   if (aServer.mIncarnation.Supersedes(held)) {
-    if (!IsBareLeave(aServer)) {
+    if (!IsLeaveWithoutAddress(aServer)) {
       return Replace(aServer);
     }
     auto left = *mServer;
@@ -123,12 +126,13 @@
   if (aServer.mState != ServerState::kLeft) {
     return RegistrarVerdict::kForeign;
   }
-  // Of which start is not known: the safe one to assume is the present one.
+  // The leave message does not identify an incarnation. Assuming the current
+  // one is safe.
   if (mServer->mState == ServerState::kLeft) {
     return RegistrarVerdict::kNothingNew;
   }
   mServer->mState = ServerState::kLeft;
-  mLeftWithoutStart = true;
+  mLeftWithoutStartTime = true;
   mHeartbeatsSinceLeft = 0;
   return RegistrarVerdict::kLeaving;
 }
@@ -137,16 +141,17 @@
 Registrar::TakeSameStart(const ServerRecord& aServer)
 {
   if (aServer.mState > mServer->mState) {
-    // Draining and leaving hold whatever their order: they are not taken back.
+    // Draining and leaving are never reverted, in whatever order messages
+    // arrive.
     mServer->mState = aServer.mState;
     mServer->mSequence = std::max(mServer->mSequence, aServer.mSequence);
-    mLeftWithoutStart = false;
+    mLeftWithoutStartTime = false;
     return RegistrarVerdict::kLeaving;
   }
   const bool later = aServer.mSequence > mServer->mSequence;
   mServer->mSequence = std::max(mServer->mSequence, aServer.mSequence);
-  if (!mLeftWithoutStart || !later ||
-      ++mHeartbeatsSinceLeft < kHeartbeatsToReturn) {
+  if (!mLeftWithoutStartTime || !later ||
+      ++mHeartbeatsSinceLeft < kHeartbeatsToReinstate) {
     return RegistrarVerdict::kNothingNew;
   }
   return Replace(aServer);
@@ -164,7 +169,7 @@
     return RegistrarVerdict::kForeign;
   }
   if (aServer.mIncarnation.Supersedes(held.mIncarnation)) {
-    if (IsBareLeave(aServer)) {
+    if (IsLeaveWithoutAddress(aServer)) {
       held = aServer;
       return RegistrarVerdict::kNothingNew;
     }
@@ -178,7 +183,7 @@
     return RegistrarVerdict::kNothingNew;
   }
   held.mSequence = aServer.mSequence;
-  if (++aEarlier.mHeartbeats < kHeartbeatsToReturn) {
+  if (++aEarlier.mHeartbeats < kHeartbeatsToReinstate) {
     return RegistrarVerdict::kNothingNew;
   }
   mEarlier.erase(aServer.mIncarnation.Id());
--- a/packages/config/src/Resources.cpp
+++ b/packages/config/src/Resources.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr IntegerRange kSlots{ .mMin = 1, .mMax = 100'000 };
-constexpr IntegerRange kFloor{ .mMin = 0, .mMax = 10'000'000 };
+constexpr IntegerRange kFloorSlots{ .mMin = 0, .mMax = 10'000'000 };
 constexpr IntegerRange kDeadlineMs{ .mMin = 1, .mMax = 600'000 };
 constexpr IntegerRange kWeight{ .mMin = 0, .mMax = 1'000'000 };
 constexpr IntegerRange kAttempts{ .mMin = 0, .mMax = 100 };
@@ -29,7 +29,7 @@
 {
   ServiceSpec spec{ .mName = ServiceName(aName) };
   spec.mFloorSlots =
-    static_cast<int>(aReader.IntegerOr("floor_slots", kFloor, 0));
+    static_cast<int>(aReader.IntegerOr("floor_slots", kFloorSlots, 0));
   const auto detection = aReader.StringOr("detection", "careful");
   if (detection == "fast") {
     spec.mDetection = DetectionSetting::kFast;
@@ -68,7 +68,7 @@
   return Millis(aReader.Integer(aName, kDeadlineMs));
 }
 
-// "service" is short for a split with one part.
+// "service" is shorthand for a split with a single target.
 std::vector<RouteTarget>
 ParseTargets(FieldReader& aReader)
 {
@@ -92,7 +92,7 @@
   return targets;
 }
 
-// "priority", when given.
+// The value of "priority"; null if absent or invalid.
 std::optional<Priority>
 OptionalPriority(FieldReader& aReader)
 {
@@ -163,7 +163,7 @@
                      .mIdleTimeout = time("idle_timeout_ms") };
 }
 
-// Names a key by its place: keys themselves go into no error.
+// Errors identify an API key by its position, because API keys are secrets.
 std::vector<std::string>
 ParseKeys(FieldReader& aReader)
 {
@@ -173,10 +173,10 @@
     const auto place = "key " + std::to_string(i + 1);
     if (!IsToken(keys[i])) {
       aReader.Fail("keys",
-                   place + " must be printable ASCII without blanks, of 1 to "
-                           "256 characters");
+                   place + " must be 1 to 256 printable ASCII characters "
+                           "without spaces");
     } else if (!seen.insert(keys[i]).second) {
-      aReader.Fail("keys", place + " stands there twice");
+      aReader.Fail("keys", place + " is listed twice");
     }
   }
   return keys;
@@ -187,7 +187,7 @@
 {
   WorkspaceSpec spec{ .mName = WorkspaceName(aName) };
   if (!aName.empty() && !IsToken(aName)) {
-    aReader.Fail("(name)", "must be printable ASCII without blanks");
+    aReader.Fail("(name)", "must be printable ASCII without spaces");
   }
   spec.mKeys = ParseKeys(aReader);
   spec.mPriority = OptionalPriority(aReader);
--- a/packages/config/src/RouteTable.cpp
+++ b/packages/config/src/RouteTable.cpp
@@ -30,7 +30,7 @@
 {
   auto& routes = mByKey[KeyOf(aRoute.mHost, aRoute.mPathPrefix)];
   routes.push_back(aRoute);
-  // A route that names methods goes before one for every method.
+  // Routes with a list of methods take precedence over those for all methods.
   std::stable_sort(routes.begin(),
                    routes.end(),
                    [](const RouteSpec& aLeft, const RouteSpec& aRight) {
@@ -55,9 +55,9 @@
 }
 
 const RouteSpec*
-RouteTable::FindOfHost(std::string_view aHost,
-                       std::string_view aMethod,
-                       std::string_view aPath) const
+RouteTable::FindForHost(std::string_view aHost,
+                        std::string_view aMethod,
+                        std::string_view aPath) const
 {
   auto prefix = aPath;
   while (!prefix.empty()) {
@@ -82,9 +82,9 @@
   if (!aPath.starts_with('/')) {
     return nullptr;
   }
-  const auto* route = FindOfHost(aHost, aMethod, aPath);
+  const auto* route = FindForHost(aHost, aMethod, aPath);
   return route != nullptr || aHost.empty() ? route
-                                           : FindOfHost("", aMethod, aPath);
+                                           : FindForHost("", aMethod, aPath);
 }
 
 } // namespace porttiller
--- a/packages/config/src/Settings.cpp
+++ b/packages/config/src/Settings.cpp
@@ -20,22 +20,24 @@
 constexpr IntegerRange kIntervalMs{ .mMin = 10, .mMax = 60'000 };
 constexpr IntegerRange kApplyMs{ .mMin = 200, .mMax = 60'000 };
 constexpr IntegerRange kPort{ .mMin = 0, .mMax = 65535 };
-// Whatever a platform may say of its machines; only the sign is checked.
-constexpr double kHuge = 1e9;
+// Upper bound of numbers that the platform provides. It is far above real
+// values, so in effect only the sign is checked.
+constexpr double kMaxPlatformNumber = 1e9;
 constexpr double kMinWindowS = 0.1;
 constexpr double kMaxWindowS = 86'400.0;
-// Of the time until a stop is forced: callers are owed an end of what runs in
-// the last sixth, and the process needs some time to end.
-constexpr double kDrainPart = 0.88;
+// Share of the time until a shutdown is forced. The rest is for the process to
+// exit; requests that are running in the last sixth of that time must still be
+// completed.
+constexpr double kDrainShareOfGrace = 0.88;
 constexpr double kMillisPerSecond = 1000.0;
-// A waiting request takes up to 128 KB (a thread's touched stack and buffers),
-// and may have a quarter of the box's memory in each role.
+// A waiting request takes up to 128 KB (used stack of a thread and buffers),
+// and the requests of each role may take a quarter of the box's memory.
 constexpr double kThreadsPerMb = 2.0;
 constexpr IntegerRange kDerivedThreads{ .mMin = 64, .mMax = 512 };
-// Callers, other boxes and what this box opens share the descriptors, less
-// those for files.
-constexpr double kFileDescriptors = 200.0;
-constexpr double kDescriptorUses = 3.0;
+// The file descriptors, less a reserve for files, are shared equally by
+// connections from callers, from other boxes, and those that this box opens.
+constexpr double kReservedDescriptors = 200.0;
+constexpr double kDescriptorShares = 3.0;
 constexpr IntegerRange kDerivedConnections{ .mMin = 64, .mMax = 2048 };
 constexpr unsigned kIndent = 2;
 
@@ -58,7 +60,7 @@
 }
 
 int
-Within(double aValue, IntegerRange aRange)
+ClampTo(double aValue, IntegerRange aRange)
 {
   return static_cast<int>(std::clamp(aValue,
                                      static_cast<double>(aRange.mMin),
@@ -69,16 +71,16 @@
 ThreadsFor(const ResourceSettings& aResources, int aDefault)
 {
   return aResources.mMemoryMb > 0.0
-           ? Within(aResources.mMemoryMb * kThreadsPerMb, kDerivedThreads)
+           ? ClampTo(aResources.mMemoryMb * kThreadsPerMb, kDerivedThreads)
            : aDefault;
 }
 
 int
 ConnectionsFor(const ResourceSettings& aResources, int aDefault)
 {
-  const double free = aResources.mDescriptors - kFileDescriptors;
+  const double free = aResources.mDescriptors - kReservedDescriptors;
   return aResources.mDescriptors > 0.0
-           ? Within(free / kDescriptorUses, kDerivedConnections)
+           ? ClampTo(free / kDescriptorShares, kDerivedConnections)
            : aDefault;
 }
 
@@ -86,8 +88,10 @@
 ReadResources(FieldReader aReader)
 {
   ResourceSettings settings;
-  settings.mMemoryMb = aReader.NumberOr("memory_mb", 0.0, kHuge, 0.0);
-  settings.mDescriptors = aReader.NumberOr("descriptors", 0.0, kHuge, 0.0);
+  settings.mMemoryMb =
+    aReader.NumberOr("memory_mb", 0.0, kMaxPlatformNumber, 0.0);
+  settings.mDescriptors =
+    aReader.NumberOr("descriptors", 0.0, kMaxPlatformNumber, 0.0);
   aReader.RefuseUnknown();
   return settings;
 }
@@ -141,18 +145,20 @@
 ReadTiming(FieldReader aReader)
 {
   TimingSettings settings;
-  const double grace = aReader.NumberOr("grace_s", 0.0, kHuge, 0.0);
+  const double grace =
+    aReader.NumberOr("grace_s", 0.0, kMaxPlatformNumber, 0.0);
   if (grace > 0.0) {
     settings.mDrain =
-      Millis(Within(grace * kMillisPerSecond * kDrainPart, kDrainMs));
+      Millis(ClampTo(grace * kMillisPerSecond * kDrainShareOfGrace, kDrainMs));
   }
   settings.mDrain = ReadMillis(aReader, "drain_ms", kDrainMs, settings.mDrain);
   settings.mDrainNotice =
     ReadMillis(aReader, "drain_notice_ms", kIntervalMs, settings.mDrainNotice);
   settings.mDrainNotice = std::min(settings.mDrainNotice, settings.mDrain / 2);
-  const double apply = aReader.NumberOr("apply_ms", 0.0, kHuge, 0.0);
+  const double apply =
+    aReader.NumberOr("apply_ms", 0.0, kMaxPlatformNumber, 0.0);
   if (apply > 0.0) {
-    settings.mApply = Millis(Within(apply, kApplyMs));
+    settings.mApply = Millis(ClampTo(apply, kApplyMs));
   }
   settings.mProbeInterval = ReadMillis(
     aReader, "probe_interval_ms", kIntervalMs, settings.mProbeInterval);
@@ -199,8 +205,10 @@
 {
   WorkspaceLimitSettings settings;
   settings.mWindow = ReadWindow(aReader, settings.mWindow);
-  settings.mOver = aReader.NumberOr("over", 0.0, kHuge, settings.mOver);
-  settings.mSlack = aReader.NumberOr("slack", 0.0, kHuge, settings.mSlack);
+  settings.mOver =
+    aReader.NumberOr("over", 0.0, kMaxPlatformNumber, settings.mOver);
+  settings.mSlack =
+    aReader.NumberOr("slack", 0.0, kMaxPlatformNumber, settings.mSlack);
   aReader.RefuseUnknown();
   return settings;
 }
@@ -209,8 +217,10 @@
 ReadRetries(FieldReader aReader)
 {
   RetrySettings settings;
-  settings.mShare = aReader.NumberOr("share", 0.0, kHuge, settings.mShare);
-  settings.mBurst = aReader.NumberOr("burst", 0.0, kHuge, settings.mBurst);
+  settings.mShare =
+    aReader.NumberOr("share", 0.0, kMaxPlatformNumber, settings.mShare);
+  settings.mBurst =
+    aReader.NumberOr("burst", 0.0, kMaxPlatformNumber, settings.mBurst);
   settings.mWindow = ReadWindow(aReader, settings.mWindow);
   aReader.RefuseUnknown();
   return settings;
@@ -229,11 +239,11 @@
 FailingServers
 ReadFailingServers(FieldReader& aReader)
 {
-  const auto way = aReader.StringOr("failing_servers", "eject");
-  if (way != "eject" && way != "break") {
+  const auto action = aReader.StringOr("failing_servers", "eject");
+  if (action != "eject" && action != "break") {
     aReader.Fail("failing_servers", "must be \"eject\" or \"break\"");
   }
-  return way == "break" ? FailingServers::kBreak : FailingServers::kEject;
+  return action == "break" ? FailingServers::kBreak : FailingServers::kEject;
 }
 
 std::string
--- a/packages/config/src/Snapshot.cpp
+++ b/packages/config/src/Snapshot.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-// Adds one resource to a snapshot. Services are added before what names them;
-// a reference to a missing service is reported and the object left out.
-class Adder
+// Adds a resource to a snapshot. Services must be added before the objects that
+// refer to them. An object that refers to a missing service is reported and
+// skipped.
+class ResourceAdder
 {
 public:
-  Adder(Snapshot& aSnapshot, const ObjectKey& aKey)
+  ResourceAdder(Snapshot& aSnapshot, const ObjectKey& aKey)
     : mSnapshot(aSnapshot)
     , mKey(aKey)
   {
@@ -31,7 +32,7 @@
   {
     const auto it = mSnapshot.mServices.find(aSpec.mService);
     if (it == mSnapshot.mServices.end()) {
-      RejectReference();
+      RejectMissingService();
       return;
     }
     it->second.mServers.push_back(aSpec);
@@ -41,7 +42,7 @@
   {
     for (const auto& target : aSpec.mTargets) {
       if (!mSnapshot.mServices.contains(target.mService)) {
-        RejectReference();
+        RejectMissingService();
         return;
       }
     }
@@ -50,25 +51,26 @@
 
   void operator()(const LimitsSpec& aSpec) const { mSnapshot.mLimits = aSpec; }
 
-  // The builder keeps them in a table of their own.
+  // SnapshotBuilder keeps workspaces in a separate table.
   void operator()(const WorkspaceSpec&) const { assert(false); }
 
 private:
-  void RejectReference() const
+  void RejectMissingService() const
   {
     mSnapshot.mRejections.push_back(
       { .mKey = mKey,
         .mVersion = 0,
-        .mErrors = { { "spec.service", "names no service in force" } } });
+        .mErrors = {
+          { "spec.service", "refers to a service that is not in force" } } });
   }
 
   Snapshot& mSnapshot;
   const ObjectKey& mKey;
 };
 
-// A box's server is used only while its service is configured.
+// Adds the box, and its server if the server's service is configured.
 void
-AddRecord(Snapshot& aSnapshot, const BoxRecord& aRecord)
+AddBoxRecord(Snapshot& aSnapshot, const BoxRecord& aRecord)
 {
   const auto& box = aRecord.mBox;
   aSnapshot.mBoxes.insert_or_assign(box.mName, box);
@@ -82,16 +84,17 @@
   }
 }
 
-// Its key stays with the other workspace.
+// Reports the workspaces that list an API key of another one. Such a key stays
+// with its first holder.
 void
-AddClashes(Snapshot& aSnapshot)
+AddKeyConflicts(Snapshot& aSnapshot)
 {
-  for (const auto& clash : aSnapshot.mWorkspaces->Clashes()) {
+  for (const auto& conflict : aSnapshot.mWorkspaces->Conflicts()) {
     aSnapshot.mRejections.push_back(
-      { .mKey = { kWorkspaceKind, clash.mOther.Value() },
-        .mErrors = {
-          { "spec.keys",
-            "one of them is held by workspace " + clash.mHolder.Value() } } });
+      { .mKey = { kWorkspaceKind, conflict.mOther.Value() },
+        .mErrors = { { "spec.keys",
+                       "one of them is held by workspace " +
+                         conflict.mHolder.Value() } } });
   }
 }
 
@@ -123,7 +126,7 @@
   }
 }
 
-// Null when it did not pass, which is noted.
+// Records a rejection and returns null if the object is invalid.
 std::optional<Resource>
 SnapshotBuilder::Parse(const Object& aObject)
 {
@@ -178,25 +181,25 @@
   auto snapshot = std::make_shared<Snapshot>();
   snapshot->mRevision = aObjects.Revision();
   snapshot->mDigest = aObjects.Digest();
-  snapshot->mSerial = ++mSerials;
+  snapshot->mSerial = ++mLastSerial;
   snapshot->mWorkspaces = mWorkspaces;
   for (const auto& [key, resource] : mGood) {
     if (std::holds_alternative<ServiceSpec>(resource)) {
-      std::visit(Adder(*snapshot, key), resource);
+      std::visit(ResourceAdder(*snapshot, key), resource);
     }
   }
   for (const auto& [key, resource] : mGood) {
     if (!std::holds_alternative<ServiceSpec>(resource)) {
-      std::visit(Adder(*snapshot, key), resource);
+      std::visit(ResourceAdder(*snapshot, key), resource);
     }
   }
   for (const auto& record : aDirectory) {
-    AddRecord(*snapshot, record);
+    AddBoxRecord(*snapshot, record);
   }
   for (const auto& [key, rejection] : mRejected) {
     snapshot->mRejections.push_back(rejection);
   }
-  AddClashes(*snapshot);
+  AddKeyConflicts(*snapshot);
   return snapshot;
 }
 
--- a/packages/config/src/StoreCursor.cpp
+++ b/packages/config/src/StoreCursor.cpp
@@ -24,7 +24,7 @@
 StoreCursor::OnRead(const ObjectDelta& aDelta,
                     const tl::expected<void, ApplyError>& aResult)
 {
-  // What is stale is held already.
+  // The set already has the changes of a stale delta.
   mLost = !aResult && aResult.error() == ApplyError::kGap;
   if (!mLost) {
     mRead = std::max(mRead, aDelta.mCursor);
--- a/packages/config/src/WorkspaceTable.cpp
+++ b/packages/config/src/WorkspaceTable.cpp
@@ -14,7 +14,7 @@
   return aShards[std::hash<std::string>{}(aText) % aShards.size()];
 }
 
-// Changes a shard's copy and puts it in the shard's place.
+// Applies aChange to a copy of the shard and replaces the shard with it.
 template<typename Shard, typename Change>
 void
 ChangeShard(std::shared_ptr<const Shard>& aShard, Change aChange)
@@ -89,7 +89,7 @@
       });
     holders.insert(place, aHolder);
     if (holders.size() > 1) {
-      mContested.insert(aKey);
+      mConflictingKeys.insert(aKey);
     }
   });
 }
@@ -104,7 +104,7 @@
       return aHolder->mName == aName;
     });
     if (holders.size() < 2) {
-      mContested.erase(aKey);
+      mConflictingKeys.erase(aKey);
     }
     if (holders.empty()) {
       aShard.erase(aKey);
@@ -112,17 +112,17 @@
   });
 }
 
-std::vector<KeyClash>
-WorkspaceTable::Clashes() const
+std::vector<KeyConflict>
+WorkspaceTable::Conflicts() const
 {
-  std::vector<KeyClash> clashes;
-  for (const auto& key : mContested) {
+  std::vector<KeyConflict> conflicts;
+  for (const auto& key : mConflictingKeys) {
     const auto& holders = ShardOf(mByKey, key)->at(key);
     for (auto it = std::next(holders.begin()); it != holders.end(); ++it) {
-      clashes.push_back({ holders.front()->mName, (*it)->mName });
+      conflicts.push_back({ holders.front()->mName, (*it)->mName });
     }
   }
-  return clashes;
+  return conflicts;
 }
 
 } // namespace porttiller
--- a/packages/config/tests/DirectoryTest.cpp
+++ b/packages/config/tests/DirectoryTest.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("A record survives its text, and a broken text says what is wrong")
+TEST_CASE("ParseBoxRecord restores a printed record and rejects invalid text")
 {
   auto record = Record("b", 18'000'000'000'000'000'000U);
   record.mBox.mState = BoxState::kLeaving;
@@ -45,7 +45,7 @@
   REQUIRE_FALSE(ParseBoxRecord(broken).has_value());
 }
 
-TEST_CASE("Directories that saw the same records agree, whatever the order")
+TEST_CASE("Directories with the same records agree in any order of merging")
 {
   const bool ok = rc::check([] {
     Directory left;
@@ -71,7 +71,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("Two directories find out what each lacks")
+TEST_CASE("Two directories exchange the records that each lacks")
 {
   Directory mine;
   Directory theirs;
@@ -80,9 +80,9 @@
   theirs.Merge(Record("a", 1));
   theirs.Merge(Record("c", 1));
   CHECK(mine.LacksAnyOf(theirs.Versions()));
-  const auto news = mine.NewerThan(theirs.Versions());
-  REQUIRE(news.size() == 2);
-  for (const auto& record : news) {
+  const auto newer = mine.NewerThan(theirs.Versions());
+  REQUIRE(newer.size() == 2);
+  for (const auto& record : newer) {
     theirs.Merge(record);
   }
   CHECK_FALSE(theirs.LacksAnyOf(mine.Versions()));
@@ -93,13 +93,14 @@
   CHECK(theirs.Digest() == mine.Digest());
 }
 
-TEST_CASE("An address belongs to the newest life that claims it")
+TEST_CASE("InUse returns the newest incarnation for each address")
 {
-  // Found on the grown fleets: the record of a box that was gone for good kept
-  // sending requests to the box that had its address, 12,000 in a day.
+  // Guards against requests that the record of a permanently removed box
+  // directs to the box that has its address now (12,000 a day in a large
+  // fleet).
   Directory directory;
-  auto gone = Record("gone", 9);
-  directory.Merge(gone);
+  auto removed = Record("gone", 9);
+  directory.Merge(removed);
   auto other = Record("other", 1);
   other.mBox.mHomeAddress = "10.0.0.2:1";
   directory.Merge(other);
@@ -111,5 +112,6 @@
   REQUIRE(used.size() == 2);
   CHECK(used[0].mBox.mName == BoxName("next"));
   CHECK(used[1].mBox.mName == BoxName("other"));
-  CHECK(directory.Size() == 3); // peers must still agree on what they hold
+  // InUse drops no record, or the digests of peers would differ.
+  CHECK(directory.Size() == 3);
 }
--- a/packages/config/tests/FieldReaderTest.cpp
+++ b/packages/config/tests/FieldReaderTest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("Integers are read within their range only")
+TEST_CASE("FieldReader::Integer rejects values that are no integers in range")
 {
   constexpr IntegerRange kRange{ .mMin = 1,
                                  .mMax =
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("Numbers that do not fit are errors, or null where asked for")
+TEST_CASE("Numbers beyond 64 bits are errors or become null")
 {
   for (const char* wrong : { "18446744073709551616",
                              "-9223372036854775809",
@@ -72,7 +72,8 @@
   CHECK(ParseJsonObject(R"({"a":[{"b":[{"c":1}]}]})"));
 }
 
-TEST_CASE("An endpoint is an IPv4 address with a port that can be reached")
+TEST_CASE(
+  "FieldReader::Endpoint accepts only an IPv4 address with a valid port")
 {
   const auto accepts = [](const std::string& aText) {
     const auto json = ParseJsonObject(R"({"a":")" + aText + "\"}");
--- a/packages/config/tests/FuzzDecodersTest.cpp
+++ b/packages/config/tests/FuzzDecodersTest.cpp
@@ -1,4 +1,4 @@
-// Mutated documents: no decoder of records, objects or settings may throw.
+// Fuzz tests: decoders of records, objects and settings must not throw.
 #include "porttiller/config/BoxRecord.h"
 #include "porttiller/config/JsonText.h"
 #include "porttiller/config/Settings.h"
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("Mutated records, objects and settings are read or refused")
+TEST_CASE("Decoders accept or reject mutated text without exceptions")
 {
   const bool ok = rc::check([] {
     const auto record = ParseBoxRecord(Mutated(kRecord));
@@ -39,7 +39,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("A record under another box's name is none of that box")
+TEST_CASE("ReadBoxRecord rejects a record under the name of another box")
 {
   const Object own{ .mKey = { kBoxRecordKind, "b" }, .mSpecJson = kRecord };
   CHECK(ReadBoxRecord(own));
@@ -56,7 +56,7 @@
   CHECK(broken.error().mVersion == 3);
 }
 
-TEST_CASE("A record's revision leaves its box room to raise it")
+TEST_CASE("A record whose revision its box cannot increment is rejected")
 {
   auto text = kRecord;
   text.replace(text.find("\"9\""), 3, "\"18446744073709551615\"");
--- a/packages/config/tests/ObjectSetTest.cpp
+++ b/packages/config/tests/ObjectSetTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The store as the platform keeps it: the oracle for every node's set.
+// A model of the platform's store: the reference for the sets of all nodes.
 class Store
 {
 public:
@@ -69,10 +69,11 @@
 
 } // namespace
 
-TEST_CASE("Every node's set is the store's at the node's revision")
+TEST_CASE("Each node's set equals the store's contents at the node's revision")
 {
-  // Three nodes take deltas from the store and from one another, late, doubled
-  // and in any order, and restart empty; revisions never go back in one life.
+  // Three nodes apply deltas from the store and from each other, which may be
+  // delayed, duplicated and reordered, and may restart with an empty set.
+  // Within an incarnation the revision never decreases.
   const bool ok = rc::check([] {
     Store store;
     std::vector<ObjectSet> nodes(3, ObjectSet({ .mMaxTombstones = 2 }));
@@ -90,12 +91,12 @@
           static_cast<void>(
             node.Apply(store.Changes(before, store.Revision())));
           break;
-        case 2: // a peer answers some earlier question
+        case 2: // a peer answers an earlier request
           inFlight.push_back(nodes[Draw<std::size_t>(0, nodes.size())].Since(
             Draw<std::uint64_t>(0, store.Revision() + 1)));
           break;
         case 3:
-          if (!inFlight.empty()) { // delivered, and maybe again later
+          if (!inFlight.empty()) { // delivered, possibly more than once
             static_cast<void>(
               node.Apply(inFlight[Draw<std::size_t>(0, inFlight.size())]));
           }
@@ -125,7 +126,7 @@
 
 namespace {
 
-// One document, as operators write it: each revision has all objects anew.
+// A model of a configuration document: each revision has all objects.
 class Document
 {
 public:
@@ -135,7 +136,7 @@
     if (aDelete) {
       next.erase(aName);
     } else {
-      next[aName] = std::to_string(mRevisions.size() % 3); // also as before
+      next[aName] = std::to_string(mRevisions.size() % 3); // may be unchanged
     }
     mRevisions.push_back(next);
   }
@@ -172,10 +173,11 @@
 
 } // namespace
 
-TEST_CASE("Nodes that skip revisions of a document agree at each they hold")
+TEST_CASE("Nodes that skip revisions of a document agree at equal revisions")
 {
-  // Some read the document, each at revisions of its own; all take deltas from
-  // one another, late, doubled and in any order, and restart empty.
+  // Nodes read the document at different revisions and apply deltas from each
+  // other, which may be delayed, duplicated and reordered. They may restart
+  // with an empty set.
   const bool ok = rc::check([] {
     Document document;
     const ObjectSetOptions options{ .mMaxTombstones = 2, .mMaxHeld = 3 };
@@ -224,7 +226,7 @@
   CHECK(ok);
 }
 
-TEST_CASE("A new document tells peers what it changes, and no more")
+TEST_CASE("The delta of a new document has only the changed objects")
 {
   Document document;
   for (const char* name : { "a", "b", "c" }) {
@@ -243,6 +245,6 @@
   CHECK(delta.mObjects[0].mKey.mName == "b");
   CHECK(delta.mObjects[1].mKey.mName == "c");
   CHECK(delta.mObjects[1].mDeleted);
-  CHECK(set.Since(held - 1).mFull); // a revision that it never held
+  CHECK(set.Since(held - 1).mFull); // a revision that the set never held
   CHECK(set.Since(set.Revision()).mObjects.empty());
 }
--- a/packages/config/tests/SettingsTest.cpp
+++ b/packages/config/tests/SettingsTest.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("ParseSettings fills defaults and survives its own print")
+TEST_CASE("ParseSettings applies defaults and reads back printed settings")
 {
   const auto settings = ParseSettings(kMinimal);
   REQUIRE(settings.has_value());
@@ -24,7 +24,7 @@
   CHECK(ToJsonText(*again) == ToJsonText(*settings));
 }
 
-TEST_CASE("ParseSettings lists every error with its path")
+TEST_CASE("ParseSettings reports every error with its path")
 {
   const auto settings = ParseSettings(R"({
     "box": 3, "zone": "z", "colour": "red",
@@ -46,14 +46,14 @@
                                            "colour" });
 }
 
-TEST_CASE("ParseSettings refuses what is no JSON object")
+TEST_CASE("ParseSettings rejects text that is not a JSON object")
 {
   for (const char* text : { "", "[]", "{", "{ \"box\": }" }) {
     CHECK_FALSE(ParseSettings(text).has_value());
   }
 }
 
-TEST_CASE("Numbers of a platform may be fractional, zero, huge or missing")
+TEST_CASE("Numbers from the platform may be fractional, zero, huge or null")
 {
   struct Case
   {
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_CASE("Threads, connections and the bound of a stop follow the machine")
+TEST_CASE("Threads, connections and drain time are derived from the resources")
 {
   const auto settings = ParseSettings(R"({
     "box": "a", "zone": "z", "platform_address": "127.0.0.1:1",
@@ -96,8 +96,7 @@
   CHECK(settings->mTiming.mDrain == Millis(8800));
 }
 
-TEST_CASE(
-  "The time that changes have is taken from whatever the platform gives")
+TEST_CASE("apply_ms accepts null and fractions, and is clamped to its range")
 {
   const std::map<std::string, Millis> cases{
     { "null", Millis(4000) },   { "0", Millis(4000) }, { "2000", Millis(2000) },
--- a/packages/config/tests/SnapshotTest.cpp
+++ b/packages/config/tests/SnapshotTest.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("A rejected version leaves the last good one in force")
+TEST_CASE("A rejected version leaves the last valid one in force")
 {
   Fixture fixture;
   fixture.Apply(MakeObject("Service", "s", 1, R"({"floor_slots": 3})"));
@@ -59,7 +59,7 @@
   CHECK(good->mRejections.empty());
 }
 
-TEST_CASE("A route is in force only while its service is")
+TEST_CASE("A route is in force only while its service is in force")
 {
   Fixture fixture;
   const auto early = fixture.Apply(
@@ -69,11 +69,11 @@
   const auto both = fixture.Apply(MakeObject("Service", "s", 2, "{}"));
   CHECK(both->mRoutes.Find("", "GET", "/a/b") != nullptr);
   CHECK(both->mRejections.empty());
-  const auto gone = fixture.Apply(MakeObject("Service", "s", 3, ""));
-  CHECK(gone->mRoutes.Find("", "GET", "/a/b") == nullptr);
+  const auto removed = fixture.Apply(MakeObject("Service", "s", 3, ""));
+  CHECK(removed->mRoutes.Find("", "GET", "/a/b") == nullptr);
 }
 
-TEST_CASE("RouteTable takes the longest prefix of whole segments")
+TEST_CASE("RouteTable matches the longest prefix of whole segments")
 {
   RouteTable table;
   table.Add({ .mName = "root", .mPathPrefix = "/" });
@@ -87,7 +87,7 @@
   CHECK(table.Find("", "GET", "/a/c")->mName == "a");
 }
 
-TEST_CASE("Routes of a host go before those for any host")
+TEST_CASE("Routes of a host take precedence over routes for any host")
 {
   RouteTable table;
   table.Add({ .mName = "any", .mPathPrefix = "/a/b" });
@@ -102,7 +102,7 @@
   CHECK(table.Find("h", "GET", "") == nullptr);
 }
 
-TEST_CASE("Boxes that tell about themselves bring their servers")
+TEST_CASE("Boxes that register themselves add their servers")
 {
   Fixture fixture;
   fixture.Apply(MakeObject("Service", "s", 1, "{}"));
@@ -126,7 +126,7 @@
           ->mServers.empty());
 }
 
-TEST_CASE("A split route names weights, and only services in force")
+TEST_CASE("A split route needs a weight above 0 and only services in force")
 {
   Fixture fixture;
   fixture.Apply(MakeObject("Service", "s", 1, "{}"));
--- a/packages/config/tests/StoreCursorTest.cpp
+++ b/packages/config/tests/StoreCursorTest.cpp
@@ -17,8 +17,8 @@
            .mSpecJson = std::to_string(aVersion) };
 }
 
-// A store whose odd revisions change the configuration and whose even ones
-// change something else.
+// Changes of a store whose odd revisions change the configuration and whose
+// even revisions change other objects.
 ObjectDelta
 ChangesAfter(std::uint64_t aFrom, std::uint64_t aRevision)
 {
@@ -38,7 +38,7 @@
   return whole;
 }
 
-// What a node does with one answer of its store.
+// Processes a response of the store like a node.
 void
 Take(StoreCursor& aCursor,
      ObjectSet& aSet,
@@ -57,13 +57,13 @@
 
 } // namespace
 
-TEST_CASE("A set that holds nothing has to be read as a whole")
+TEST_CASE("An empty set requires the complete list")
 {
   CHECK_FALSE(StoreCursor().From(0).has_value());
   CHECK(StoreCursor().From(7) == 7);
 }
 
-TEST_CASE("A change behind writes of other kinds follows on what is held")
+TEST_CASE("A change after writes of other kinds applies to the set")
 {
   StoreCursor cursor;
   ObjectSet set;
@@ -75,7 +75,8 @@
   CHECK(set.Revision() == 9);
 }
 
-TEST_CASE("A refused delta is not passed: the whole is read")
+TEST_CASE(
+  "A rejected delta does not advance the cursor and requires the full list")
 {
   StoreCursor cursor;
   cursor.OnRead({ .mCursor = 5 }, kNothingForTheSet);
@@ -86,7 +87,7 @@
   CHECK(cursor.From(9) == 9);
 }
 
-TEST_CASE("Whatever ways a set moves forward, it holds what its store had")
+TEST_CASE("A set advanced by the store and by peers matches the store")
 {
   rc::check([] {
     StoreCursor cursor;
@@ -95,9 +96,9 @@
     for (const auto step :
          *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 4))) {
       if (step < 2) {
-        ++revision; // somebody writes
+        ++revision; // a write
       } else if (step == 2) {
-        // A peer that has read this far, which may be behind or ahead.
+        // The set of a peer, which may be behind or ahead.
         const auto at = *rc::gen::inRange<std::uint64_t>(1, revision + 1);
         static_cast<void>(set.Apply(Whole(at)));
       } else {
--- a/packages/config/tests/WorkspaceTableTest.cpp
+++ b/packages/config/tests/WorkspaceTableTest.cpp
@@ -36,7 +36,8 @@
 class Objects
 {
 public:
-  // Each pair is a workspace and its spec; an empty spec deletes it.
+  // Each pair is a workspace name and its spec; an empty spec deletes the
+  // workspace.
   SnapshotPtr Apply(
     const std::vector<std::pair<std::string, std::string>>& aSpecs)
   {
@@ -59,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("A key belongs to the workspace that lists it, and to nobody after")
+TEST_CASE("An API key belongs to a workspace only while the workspace lists it")
 {
   WorkspaceTable table;
   CHECK(table.Empty());
@@ -73,11 +74,11 @@
   table.Remove(WorkspaceName("a"));
   CHECK(HolderOf(table, "k2").empty());
   CHECK(table.Empty());
-  // An earlier copy stays as it was.
+  // An earlier copy is unchanged.
   CHECK(HolderOf(before, "k1") == "a");
 }
 
-TEST_CASE("A key that moves has one holder at any version, in either order")
+TEST_CASE("An API key that moves has one holder, in either order of changes")
 {
   for (const bool backwards : { false, true }) {
     Objects objects;
@@ -94,23 +95,24 @@
   }
 }
 
-TEST_CASE("A key of two workspaces stays with the first, and is reported")
+TEST_CASE("An API key of two workspaces belongs to the first and is reported")
 {
   Objects objects;
-  const auto clash = objects.Apply({ { "b", SpecText({ "secret", "own" }) },
-                                     { "a", SpecText({ "secret" }) } });
-  CHECK(HolderOf(*clash->mWorkspaces, "secret") == "a");
-  CHECK(HolderOf(*clash->mWorkspaces, "own") == "b");
-  REQUIRE(clash->mRejections.size() == 1);
-  CHECK(clash->mRejections[0].mKey.mName == "b");
-  CHECK(ToText(clash->mRejections[0].mErrors).find("secret") ==
+  const auto conflict = objects.Apply({ { "b", SpecText({ "secret", "own" }) },
+                                        { "a", SpecText({ "secret" }) } });
+  CHECK(HolderOf(*conflict->mWorkspaces, "secret") == "a");
+  CHECK(HolderOf(*conflict->mWorkspaces, "own") == "b");
+  REQUIRE(conflict->mRejections.size() == 1);
+  CHECK(conflict->mRejections[0].mKey.mName == "b");
+  CHECK(ToText(conflict->mRejections[0].mErrors).find("secret") ==
         std::string::npos);
-  const auto solved = objects.Apply({ { "a", "" } });
-  CHECK(HolderOf(*solved->mWorkspaces, "secret") == "b");
-  CHECK(solved->mRejections.empty());
+  const auto resolved = objects.Apply({ { "a", "" } });
+  CHECK(HolderOf(*resolved->mWorkspaces, "secret") == "b");
+  CHECK(resolved->mRejections.empty());
 }
 
-TEST_CASE("A workspace that is wrong replaces nothing, and shows no key")
+TEST_CASE(
+  "An invalid workspace replaces nothing, and its errors show no API key")
 {
   Objects objects;
   objects.Apply({ { "a", SpecText({ "k" }) } });
@@ -129,12 +131,12 @@
   CHECK(text.find("burst") != std::string::npos);
   CHECK(text.find("priority") != std::string::npos);
   CHECK(text.find("more") != std::string::npos);
-  CHECK(text.find("blank") == text.find("blanks"));
+  CHECK(text.find("blank") == std::string::npos);
   CHECK(text.find("twice") == text.rfind("twice"));
   CHECK(bad->mRejections[0].mErrors.size() == 7);
 }
 
-TEST_CASE("Any sequence of versions leaves the keys of the last one")
+TEST_CASE("After any sequence of changes only the latest API keys are valid")
 {
   const bool ok = rc::check([] {
     Objects objects;
