--- a/packages/http/include/porttiller/http/Cancellation.h
+++ b/packages/http/include/porttiller/http/Cancellation.h
@@ -1,4 +1,4 @@
-// Whether somebody still waits for a request.
+// Cancellation token of a request.
 #pragma once
 
 #include <atomic>
@@ -10,14 +10,16 @@
 
 namespace porttiller {
 
-// Shared by all who work on a request. Thread-safe. Who waits for something
-// else meanwhile is woken by a watch, not by looking every few milliseconds: a
-// request of 310 ms took ten wake-ups of that kind, in three waits.
+// Shared by all code that works on one request. Thread-safe. A thread that
+// blocks on something else, such as a socket, registers a listener to be woken:
+// polling the flag every few milliseconds costs about ten wake-ups for a
+// request of 310 ms with three waits.
 class Cancellation
 {
 public:
-  // Ends with its watch; the listener does not run after that. Destroyed by
-  // the thread that made it.
+  // Keeps a listener registered. Once it is destroyed the listener does not
+  // run any more; the destructor waits for a listener that is running. Must be
+  // destroyed by the thread that created it.
   class Watch
   {
   public:
@@ -39,7 +41,7 @@
 
   static std::shared_ptr<Cancellation> Make();
 
-  // Nobody waits any more. Listeners run on this thread, and must not block.
+  // Runs the listeners on the calling thread; they must not block.
   void Cancel();
   bool IsCancelled() const { return mCancelled; }
 
@@ -47,7 +49,7 @@
   friend Watch OnCancel(const std::shared_ptr<Cancellation>& aCancellation,
                         std::function<void()> aListener);
 
-  void Forget(std::uint64_t aKey);
+  void RemoveListener(std::uint64_t aKey);
 
   std::atomic<bool> mCancelled{ false };
   std::mutex mMutex; // held while listeners run
@@ -57,8 +59,8 @@
 
 using CancelFlag = std::shared_ptr<Cancellation>;
 
-// Calls aListener once it is cancelled, or now if it is already. A null
-// cancellation never is.
+// Calls aListener once on cancellation, or at once if it is cancelled already.
+// A null aCancellation is never cancelled.
 Cancellation::Watch
 OnCancel(const CancelFlag& aCancellation, std::function<void()> aListener);
 
--- a/packages/http/include/porttiller/http/HttpExchange.h
+++ b/packages/http/include/porttiller/http/HttpExchange.h
@@ -1,4 +1,4 @@
-// One request on its connection to another process, and the answer to it.
+// Client side of one HTTP request and its answer.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -14,33 +14,33 @@
 enum class ExchangeError
 {
   kBusy,       // every connection is in use; nothing was sent
-  kNotSent,    // not one byte of the request left this process
+  kNotSent,    // no byte of the request was sent
   kTimeout,    // sent, no answer in time
-  kCancelled,  // sent, and given up by this side
+  kCancelled,  // sent, then cancelled by this side
   kClosed,     // sent, closed before an answer began
-  kCut,        // the answer ended early
-  kBadFraming, // the answer is no HTTP, or cannot be told apart from the next
+  kTruncated,  // the connection ended within the answer
+  kBadFraming, // the answer is not valid HTTP, or its end is ambiguous
   kTooLarge
 };
 
 const char*
 ToText(ExchangeError aError);
 
-// Asked now and then while something is awaited; true ends the wait.
+// Polled during a wait, at least every kStopCheckInterval; true ends the wait.
 using StopCheck = std::function<bool()>;
-// Whether an answer belongs to the request. One that does not is dropped.
+// Whether an answer belongs to the request. One that does not is discarded.
 using AnswerCheck = std::function<bool(const HttpAnswer&)>;
 
 class HttpPool;
 struct ClientConnection;
 
-// Dropped before its answer was read, it closes the connection, which tells
-// the other side to stop.
+// If destroyed before the answer was read, closes the connection, so that the
+// peer can stop working on the request.
 class HttpExchange
 {
 public:
-  // Waits look at their StopCheck this often.
-  static constexpr Millis kSlice{ 400 };
+  // Longest time between two calls of a StopCheck.
+  static constexpr Millis kStopCheckInterval{ 400 };
 
   HttpExchange(HttpPool& aPool,
                std::unique_ptr<ClientConnection> aConnection,
@@ -49,18 +49,20 @@
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  // Ends waits with kCancelled as soon as it is cancelled; may be null.
+  // Cancellation ends a wait at once, with kCancelled. May be null.
   void CancelWith(CancelFlag aCancelled) { mCancelled = std::move(aCancelled); }
 
-  // True once something can be read, be it an answer or the connection's end.
+  // True once the answer or the end of the connection can be read, false when
+  // aUntil has passed.
   bool WaitReadable(TimePoint aUntil);
   tl::expected<HttpAnswer, ExchangeError> ReadAnswer(
     TimePoint aDeadline,
     const StopCheck& aStop = {},
     const AnswerCheck& aBelongs = {});
 
-  // The request went out on a connection that had rested for this long; zero
-  // on a new one. The other side may have been closing it.
+  // How long the connection was idle before it was reused for this request;
+  // zero for a new one. The peer may close an idle connection at the moment
+  // when a request is sent on it.
   Micros Rested() const;
 
 private:
@@ -74,7 +76,7 @@
   std::unique_ptr<ClientConnection> mConnection;
   CancelFlag mCancelled;
   bool mHeadOnly;
-  bool mInStep = true; // every answer so far was the expected one
+  bool mInSync = true; // every answer so far belonged to its request
 };
 
 } // namespace porttiller
--- a/packages/http/include/porttiller/http/HttpListener.h
+++ b/packages/http/include/porttiller/http/HttpListener.h
@@ -1,7 +1,7 @@
-// The server side of HTTP/1.1: one thread reads every connection and workers
-// run the handler, so that an idle connection costs no thread, requests of one
-// connection may run side by side, and a caller that hangs up is noticed while
-// its request runs.
+// HTTP/1.1 server. One I/O thread reads all connections and worker threads run
+// the handler. An idle connection occupies no thread, pipelined requests can
+// run concurrently, and a caller that disconnects is detected while its request
+// is running.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -17,81 +17,85 @@
 
 namespace porttiller {
 
-// One request as its handler gets it.
+// A request as passed to its handler.
 struct HttpCall
 {
   HttpRequestData mHttp;
   TimePoint mArrival;    // when its last byte was read
-  CancelFlag mCancelled; // by the caller, which has gone
+  CancelFlag mCancelled; // cancelled when the caller disconnects
 };
 
 struct HttpReply
 {
   HttpAnswer mAnswer;
-  bool mClose = false; // end the connection after it
+  bool mClose = false; // close the connection after this answer
 };
 
-// Runs on a worker; may block where there are workers.
+// Runs on a worker, where it may block, or on the I/O thread if there are no
+// workers.
 using HttpHandler = std::function<HttpReply(HttpCall&)>;
 
-// Why the listener itself ends a request, which has not reached the handler.
+// Why the listener answers a request itself instead of the handler.
 enum class ListenerRefusal
 {
   kMalformed,
   kHeadTooLarge,
   kBodyTooLarge,
-  kSlowHead,     // its head or body did not arrive in time
-  kNoWorker,     // every worker is busy
-  kHandlerFailed // the handler threw
+  kRequestTimeout, // headers or body did not arrive within mReadTimeout
+  kNoWorker,       // every worker is busy
+  kHandlerFailed   // the handler threw
 };
 
 const char*
 ToText(ListenerRefusal aRefusal);
 
-// The status that goes with a refusal, such as 413.
+// The HTTP status of a refusal, such as 413.
 int
 StatusOf(ListenerRefusal aRefusal);
 
 struct HttpListenerOptions
 {
   std::string mAddress; // "ip:port"
-  // Requests served at once. 0: the reading thread serves them one by one, and
-  // its handler must not block; a thread less for what is asked now and then.
+  // Requests that run at once. 0: the I/O thread runs the handler, one request
+  // at a time, and the handler must not block. Saves a thread for listeners
+  // with little traffic.
   int mWorkers = 16;
-  int mConnections = 2048; // open at once; more are closed unread
+  int mConnections = 2048; // open at once; further ones are closed unread
   MessageLimits mLimits;
+  // An idle connection is closed after this.
   Millis mIdleClose{ 30'000 };
-  // A request that has begun must be whole within this.
+  // Time from the first to the last byte of a request.
   Millis mReadTimeout{ 10'000 };
-  // Requests of one connection that may run side by side; only safe ones do.
+  // Pipelined requests of one connection that are read ahead. Only safe methods
+  // run concurrently.
   int mPipelined = 8;
-  // Makes the answer to what the listener refuses; plain text when empty.
+  // Makes the answer for a refusal; plain text if not set.
   std::function<HttpReply(ListenerRefusal)> mRefuse;
-  // Told what a handler threw, which is a fault of this program.
+  // Called with the text of an exception that a handler threw, which is a bug.
   std::function<void(const std::string&)> mOnException;
 };
 
-// A listening address and its threads. Owned by the server that it serves.
+// A listening socket and its threads. Owned by the server that uses it.
 class HttpListener
 {
 public:
-  // The error says which address cannot be had, and why.
+  // The error names the address that cannot be bound, and the cause.
   static tl::expected<std::unique_ptr<HttpListener>, std::string> Make(
     HttpListenerOptions aOptions,
     HttpHandler aHandler);
 
-  // As StopGracefully.
+  // Calls StopGracefully.
   ~HttpListener();
 
-  // Further answers ask callers to end their connections.
+  // From now on answers carry "Connection: close".
   void BeginDrain();
-  // For connections that come from now on: what they may send, how long a
-  // request may take to arrive, and how long they may rest.
+  // Applies to connections that are accepted from now on: size limits, and the
+  // mReadTimeout and mIdleClose of HttpListenerOptions.
   void SetLimits(const MessageLimits& aLimits,
                  Millis aReadTimeout,
                  Millis aIdleClose);
-  // Takes no new connection, ends the resting ones, and returns once every
-  // request that was read has its answer.
+  // Stops accepting, closes idle connections, and returns once every request
+  // that was read has been answered.
   void StopGracefully();
 
 private:
--- a/packages/http/include/porttiller/http/HttpPool.h
+++ b/packages/http/include/porttiller/http/HttpPool.h
@@ -1,5 +1,5 @@
-// Kept-alive HTTP connections to one address, bounded in number. Never sends a
-// request twice.
+// Bounded pool of keep-alive HTTP connections to one address. Never sends a
+// request twice: it tries another connection only if no byte was sent.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -19,11 +19,11 @@
 {
   std::string mAddress; // "ip:port"
   int mMaxConnections = 16;
-  // Idle connections are closed after this, or sooner if the other side says
-  // so in Keep-Alive.
+  // Idle connections are closed after this, or sooner if the peer's Keep-Alive
+  // header has a shorter timeout.
   Millis mIdleClose{ 10'000 };
   Millis mConnectTimeout{ 1000 };
-  // Sent bytes may stay unacknowledged for so long; see SetUserTimeout.
+  // How long sent bytes may stay unacknowledged; see SetUserTimeout.
   Millis mUserTimeout{ 3000 };
   MessageLimits mLimits;
 };
@@ -35,18 +35,19 @@
   explicit HttpPool(HttpPoolOptions aOptions);
   ~HttpPool();
 
-  // Sends the request; an error other than kBusy and kNotSent means that the
-  // other side may have it.
+  // Sends the request. After any error but kBusy and kNotSent the peer may have
+  // received it.
   tl::expected<std::unique_ptr<HttpExchange>, ExchangeError> Begin(
     const HttpRequestData& aRequest,
     TimePoint aDeadline);
 
-  // Closes the idle connections: one of the pool went silent, and a device on
-  // the path that forgot it may have forgotten them, too.
+  // Closes all idle connections. Used when one connection of the pool is
+  // unresponsive: a NAT or firewall on the path that dropped its state may have
+  // dropped the state of the others, too.
   void DropIdle();
 
   const HttpPoolOptions& Options() const { return mOptions; }
-  // Connections made since the start.
+  // Number of connections made since the pool was created.
   std::uint64_t Opened() const;
 
 private:
--- a/packages/http/include/porttiller/http/HttpTypes.h
+++ b/packages/http/include/porttiller/http/HttpTypes.h
@@ -1,4 +1,4 @@
-// Plain values for HTTP requests and answers that are held whole.
+// HTTP requests and answers with their complete bodies.
 #pragma once
 
 #include <string>
@@ -33,31 +33,33 @@
   std::string mBody;
 };
 
-// True for methods that are repeatable wherever nothing else is said.
+// GET and HEAD: repeatable unless a route or header says otherwise.
 bool
 IsSafeMethod(std::string_view aMethod);
 
-// The messages as they go over the wire, with a Content-Length.
+// Serializes a message, with a Content-Length.
 std::string
 ToWire(const HttpRequestData& aRequest);
-// With aHeadOnly the length is told and the body left out. aClose asks the
-// other side to end the connection.
+// aHeadOnly keeps the Content-Length and omits the body. aClose adds
+// "Connection: close".
 std::string
 ToWire(const HttpAnswer& aAnswer, bool aHeadOnly, bool aClose);
 
-// The value of the first header of this name, whatever its case, or "".
+// The value of the first header with this name (case-insensitive), or "".
 std::string
 HeaderValue(const HttpHeaders& aHeaders, std::string_view aName);
 
-// Takes every header of this name away, whatever its case. Returns how many.
+// Removes all headers with this name (case-insensitive). Returns how many.
 std::size_t
 RemoveHeader(HttpHeaders& aHeaders, std::string_view aName);
 
-// Headers that end at one hop or that only the proxy may set.
+// Hop-by-hop headers (RFC 9110, 7.6.1), and headers that only the proxy sets:
+// Content-Length, Expect and those with the prefix "porttiller-".
 bool
 IsHopHeader(std::string_view aName);
 
-// What goes on to the other side.
+// The headers to forward: without hop-by-hop ones and those that Connection
+// names.
 HttpHeaders
 WithoutHopHeaders(const HttpHeaders& aHeaders);
 
--- a/packages/http/include/porttiller/http/MessageReader.h
+++ b/packages/http/include/porttiller/http/MessageReader.h
@@ -1,6 +1,5 @@
-// Reads HTTP/1.1 messages from a stream of bytes, however it is cut into
-// pieces. The framing itself is http_parser's; this adds limits and holds one
-// whole message at a time.
+// Incremental reader of HTTP/1.1 messages. http_parser does the parsing; this
+// class enforces size limits and collects one complete message at a time.
 #pragma once
 
 #include "porttiller/http/HttpTypes.h"
@@ -15,10 +14,10 @@
 
 enum class MessageFault
 {
-  kMalformed,    // no HTTP/1.1, or it could be read in two ways
-  kHeadTooLarge, // over the limit for headers
-  kBodyTooLarge, // over the limit for bodies
-  kCut           // the connection ended within a message
+  kMalformed,    // not valid HTTP/1.x, or its framing is ambiguous
+  kHeadTooLarge, // over mMaxHeaders or mMaxHeaderBytes
+  kBodyTooLarge, // over mMaxBodyBytes
+  kTruncated     // the connection ended within a message
 };
 
 const char*
@@ -27,7 +26,7 @@
 struct MessageLimits
 {
   std::size_t mMaxHeaders = 100;
-  std::size_t mMaxHeaderBytes = 16 << 10; // names and values
+  std::size_t mMaxHeaderBytes = 16 << 10; // request target, names and values
   std::size_t mMaxBodyBytes = 16 << 20;
 };
 
@@ -46,21 +45,22 @@
   MessageReader(MessageReader&&) noexcept;
   MessageReader& operator=(MessageReader&&) noexcept;
 
-  // Takes bytes up to the end of the message at hand and returns how many.
-  // Call Next before the bytes of a following message.
+  // Consumes bytes up to the end of the current message and returns how many.
+  // Call Next before passing the bytes of the next message.
   tl::expected<std::size_t, MessageFault> Feed(std::string_view aBytes);
-  // The connection ended in order: this completes an answer without a length.
+  // The peer closed the connection. Completes an answer that has no length.
   tl::expected<void, MessageFault> End();
-  // Forgets the message at hand. An answer to HEAD has no body.
+  // Discards the current message and starts the next one. aAnswersHead: it
+  // answers a HEAD request and has no body.
   void Next(bool aAnswersHead = false);
 
-  // Bytes of the message at hand have been seen.
-  bool Begun() const;
-  bool Whole() const;
-  // The connection may carry another message after this one.
+  // Whether any byte of the current message was consumed.
+  bool HasStarted() const;
+  bool IsComplete() const;
+  // Whether the connection stays open after this message.
   bool KeepAlive() const;
 
-  // Once whole. The version is "HTTP/1.1" or "HTTP/1.0".
+  // Only for a complete message. mVersion is "HTTP/1.1" or "HTTP/1.0".
   HttpRequestData TakeRequest();
   HttpAnswer TakeAnswer();
 
--- a/packages/http/src/Cancellation.cpp
+++ b/packages/http/src/Cancellation.cpp
@@ -28,7 +28,7 @@
 Cancellation::Watch::~Watch()
 {
   if (mOwner) {
-    mOwner->Forget(mKey);
+    mOwner->RemoveListener(mKey);
   }
 }
 
@@ -51,7 +51,7 @@
 }
 
 void
-Cancellation::Forget(std::uint64_t aKey)
+Cancellation::RemoveListener(std::uint64_t aKey)
 {
   const std::lock_guard lock(mMutex);
   mListeners.erase(aKey);
--- a/packages/http/src/ClientConnectionPriv.h
+++ b/packages/http/src/ClientConnectionPriv.h
@@ -1,4 +1,4 @@
-// A connection of a pool, with what was read of it and not used yet.
+// A connection of an HttpPool.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -14,10 +14,10 @@
 {
   Poco::Net::StreamSocket mSocket;
   MessageReader mReader;
-  std::string mIn;
+  std::string mIn; // read and not parsed yet
   TimePoint mIdleSince;
-  TimePoint mUsableUntil; // as the other side said
-  Micros mRested{ 0 };    // before the present exchange
+  TimePoint mUsableUntil; // from the peer's Keep-Alive header
+  Micros mIdleTime{ 0 };  // idle time before the current exchange
 };
 
 } // namespace porttiller
--- a/packages/http/src/HttpConnectionPriv.cpp
+++ b/packages/http/src/HttpConnectionPriv.cpp
@@ -12,14 +12,15 @@
 namespace {
 
 constexpr std::size_t kReadChunk = 16 << 10;
-// Read ahead of the message at hand; a sender of more has to wait.
+// Unparsed bytes per connection, after which reading pauses.
 constexpr std::size_t kMaxReadAhead = 64 << 10;
-// For the other side to take the last answer and close: a close with unread
-// bytes would reset the connection and could destroy that answer.
-constexpr Millis kLinger{ 1000 };
+// Lingering close: time for the peer to read the last answer and close. Closing
+// with unread input would send a reset, which can discard that answer.
+constexpr Millis kLingerTimeout{ 1000 };
 
-// Most connections rest most of the time, and a box of a large fleet holds
-// hundreds: a buffer as large as the last message would stay with each.
+// Frees the buffer of an idle connection. A box of a large fleet holds hundreds
+// of mostly idle connections, each of which would keep a buffer of the size of
+// its largest message.
 void
 ReleaseIfEmpty(std::string& aBuffer)
 {
@@ -67,12 +68,12 @@
 HttpConnection::ReadAll(TimePoint aNow)
 {
   std::array<char, kReadChunk> buffer{};
-  while (mState != State::kOver && mIn.size() < kMaxReadAhead) {
+  while (mState != State::kClosed && mIn.size() < kMaxReadAhead) {
     int size = 0;
     try {
       size = mSocket.receiveBytes(buffer.data(), buffer.size());
     } catch (const Poco::Exception&) {
-      AbandonLocked(); // reset by the other side
+      AbandonLocked(); // reset by the peer
       return;
     }
     if (size < 0) {
@@ -82,7 +83,7 @@
       AbandonLocked();
       return;
     }
-    Take({ buffer.data(), static_cast<std::size_t>(size) }, aNow);
+    OnBytes({ buffer.data(), static_cast<std::size_t>(size) }, aNow);
     if (size < static_cast<int>(kReadChunk)) {
       return;
     }
@@ -90,11 +91,11 @@
 }
 
 void
-HttpConnection::Take(std::string_view aBytes, TimePoint aNow)
+HttpConnection::OnBytes(std::string_view aBytes, TimePoint aNow)
 {
   mLastUse = aNow;
-  if (mReadOver || mState != State::kOpen) {
-    return; // sent behind the end of this connection: counts as unread
+  if (mInputEnded || mState != State::kOpen) {
+    return; // after the last request of this connection: discarded
   }
   mIn += aBytes;
   Parse(aNow);
@@ -104,10 +105,10 @@
 HttpConnection::Parse(TimePoint aNow)
 {
   std::size_t done = 0;
-  while (done < mIn.size() && !mReadOver &&
+  while (done < mIn.size() && !mInputEnded &&
          mCalls.size() < static_cast<std::size_t>(mOptions.mPipelined)) {
-    if (!mReader.Begun()) {
-      mBegan = aNow;
+    if (!mReader.HasStarted()) {
+      mRequestStart = aNow;
     }
     const auto used = mReader.Feed(std::string_view(mIn).substr(done));
     if (!used) {
@@ -115,7 +116,7 @@
       break;
     }
     done += *used;
-    if (!mReader.Whole()) {
+    if (!mReader.IsComplete()) {
       continue;
     }
     auto call = std::make_shared<PendingCall>();
@@ -123,7 +124,7 @@
     call->mCall = { .mHttp = mReader.TakeRequest(),
                     .mArrival = aNow,
                     .mCancelled = Cancellation::Make() };
-    mReadOver = call->mClose;
+    mInputEnded = call->mClose;
     mCalls.push_back(std::move(call));
     mReader.Next();
   }
@@ -131,11 +132,11 @@
   ReleaseIfEmpty(mIn);
 }
 
-// Ends the connection with an answer to what could not be read as a request.
+// Answers input that is not an acceptable request, and closes the connection.
 void
 HttpConnection::Refuse(ListenerRefusal aRefusal)
 {
-  mReadOver = true;
+  mInputEnded = true;
   auto call = std::make_shared<PendingCall>();
   call->mDispatched = true;
   call->mDone = true;
@@ -145,9 +146,9 @@
   Flush();
 }
 
-// Safe requests run side by side; any other one runs alone, after those before
-// it have their answers: one of them may end the connection, and then what was
-// sent behind it counts as unread.
+// Safe requests run concurrently. Any other request runs alone, after the ones
+// before it have been answered: one of those may close the connection, and the
+// requests after it are then discarded without being run.
 std::vector<PendingCallPtr>
 HttpConnection::TakeRunnable()
 {
@@ -191,17 +192,18 @@
   const auto now = Now();
   mLastUse = now;
   if (mState == State::kOpen) {
-    Parse(now); // what had to wait for its turn
+    Parse(now); // input that was held back by mPipelined
   }
   return TakeRunnable();
 }
 
-// Requests that run have been passed on and are owed their answers. The last
-// of them ends the connection; what was read behind it counts as unread.
+// Closes the connection after the requests that are running: these must be
+// answered, as the handler may have forwarded them. Requests that were read and
+// not started are discarded.
 void
 HttpConnection::EndAfterRunning()
 {
-  mReadOver = true;
+  mInputEnded = true;
   mIn.clear();
   while (!mCalls.empty() && !mCalls.back()->mDispatched) {
     mCalls.pop_back();
@@ -220,7 +222,7 @@
     const bool head = call->mCall.mHttp.mMethod == "HEAD";
     mOut += ToWire(call->mAnswer, head, call->mClose);
     if (call->mClose) {
-      assert(mCalls.empty()); // nothing is taken behind it
+      assert(mCalls.empty()); // no request is accepted after it
       mState = State::kClosing;
     }
   }
@@ -230,7 +232,7 @@
 void
 HttpConnection::SendOut()
 {
-  while (!mOut.empty() && mState != State::kOver) {
+  while (!mOut.empty() && mState != State::kClosed) {
     int sent = 0;
     try {
       sent = mSocket.sendBytes(mOut.data(), static_cast<int>(mOut.size()));
@@ -239,7 +241,7 @@
       return;
     }
     if (sent <= 0) {
-      return; // the other side does not read; OnWritable goes on
+      return; // send buffer full; OnWritable continues
     }
     mOut.erase(0, static_cast<std::size_t>(sent));
   }
@@ -253,7 +255,7 @@
 HttpConnection::Linger()
 {
   mState = State::kLingering;
-  mLingerUntil = Now() + kLinger;
+  mLingerUntil = Now() + kLingerTimeout;
   try {
     mSocket.shutdownSend();
   } catch (const Poco::Exception&) {
@@ -269,31 +271,31 @@
 }
 
 void
-HttpConnection::OnTime(TimePoint aNow, bool aStopping)
+HttpConnection::CheckTimeouts(TimePoint aNow, bool aStopping)
 {
   const std::lock_guard lock(mMutex);
   if (mState == State::kLingering && aNow >= mLingerUntil) {
-    mState = State::kOver;
+    mState = State::kClosed;
   }
   if (mState != State::kOpen || !mCalls.empty()) {
     return;
   }
-  if (mReader.Begun()) {
-    if (aNow >= mBegan + mLimits.mRead) {
-      Refuse(ListenerRefusal::kSlowHead);
+  if (mReader.HasStarted()) {
+    if (aNow >= mRequestStart + mLimits.mRead) {
+      Refuse(ListenerRefusal::kRequestTimeout);
     }
   } else if (aStopping || aNow >= mLastUse + mLimits.mIdle) {
     AbandonLocked();
   }
 }
 
-ConnectionWants
-HttpConnection::Wants() const
+ConnectionInterest
+HttpConnection::Interest() const
 {
   const std::lock_guard lock(mMutex);
   return { .mRead = mIn.size() < kMaxReadAhead,
            .mWrite = !mOut.empty(),
-           .mOver = mState == State::kOver };
+           .mClosed = mState == State::kClosed };
 }
 
 void
@@ -306,7 +308,7 @@
 void
 HttpConnection::AbandonLocked()
 {
-  mState = State::kOver;
+  mState = State::kClosed;
   mOut.clear();
   for (const auto& call : mCalls) {
     call->mCall.mCancelled->Cancel();
--- a/packages/http/src/HttpConnectionPriv.h
+++ b/packages/http/src/HttpConnectionPriv.h
@@ -1,5 +1,5 @@
-// One accepted connection: bytes in, whole requests out to the workers, answers
-// back in the order of the requests.
+// An accepted connection: parses requests for the workers, and writes the
+// answers in the order of the requests.
 #pragma once
 
 #include "porttiller/http/HttpListener.h"
@@ -13,18 +13,18 @@
 
 namespace porttiller {
 
-// A request on its way to its answer. Guarded by its connection's lock, but
-// for mCall, which is its worker's once it is dispatched.
+// A request that has not been answered yet. Guarded by the connection's mutex,
+// except for mCall, which belongs to the worker once it is dispatched.
 struct PendingCall
 {
   HttpCall mCall;
   bool mDispatched = false;
   bool mDone = false;
-  bool mClose = false; // the connection ends with its answer
-  HttpAnswer mAnswer;  // once done
+  bool mClose = false; // close the connection after the answer
+  HttpAnswer mAnswer;  // valid once mDone
 };
 
-// What one connection may do.
+// Size limits and timeouts of one connection.
 struct ConnectionLimits
 {
   MessageLimits mMessage;
@@ -34,15 +34,15 @@
 
 using PendingCallPtr = std::shared_ptr<PendingCall>;
 
-// What the reading thread has to wait for next.
-struct ConnectionWants
+// What the I/O thread has to poll this connection for.
+struct ConnectionInterest
 {
   bool mRead = false;
   bool mWrite = false;
-  bool mOver = false; // close it
+  bool mClosed = false; // close it
 };
 
-// Shared by the reading thread and the workers that answer on it.
+// Shared by the I/O thread and the workers. Thread-safe.
 class HttpConnection
 {
 public:
@@ -53,19 +53,20 @@
 
   const Poco::Net::StreamSocket& Socket() const { return mSocket; }
 
-  // Reads what is there and returns the requests to run now.
+  // Reads the available input and returns the requests to run now.
   std::vector<PendingCallPtr> OnReadable(TimePoint aNow);
   void OnWritable();
-  // Ends what has taken too long, and what rests when aStopping.
-  void OnTime(TimePoint aNow, bool aStopping);
+  // Enforces the read, idle and linger timeouts. aStopping: also closes the
+  // connection if it is idle.
+  void CheckTimeouts(TimePoint aNow, bool aStopping);
 
-  // The answer of one call; returns the requests that may run after it.
+  // Sets the answer of a call and returns the requests that may run now.
   std::vector<PendingCallPtr> Complete(const PendingCallPtr& aCall,
                                        const HttpReply& aReply,
                                        bool aDraining);
 
-  ConnectionWants Wants() const;
-  // Cancels what runs; its answers go nowhere.
+  ConnectionInterest Interest() const;
+  // Cancels the running requests and discards their answers.
   void Abandon();
 
 private:
@@ -73,12 +74,12 @@
   {
     kOpen,
     kClosing,   // the last answer is being written
-    kLingering, // written; waits for the other side to close
-    kOver
+    kLingering, // written; waits for the peer to close
+    kClosed
   };
 
   void ReadAll(TimePoint aNow);
-  void Take(std::string_view aBytes, TimePoint aNow);
+  void OnBytes(std::string_view aBytes, TimePoint aNow);
   void Parse(TimePoint aNow);
   void Refuse(ListenerRefusal aRefusal);
   std::vector<PendingCallPtr> TakeRunnable();
@@ -97,9 +98,9 @@
   std::string mOut;                  // to be written
   std::deque<PendingCallPtr> mCalls; // in the order of their answers
   State mState = State::kOpen;
-  bool mReadOver = false; // nothing more is parsed
+  bool mInputEnded = false; // further input is discarded
   TimePoint mLastUse;
-  TimePoint mBegan; // the message at hand
+  TimePoint mRequestStart; // first byte of the current message
   TimePoint mLingerUntil;
 };
 
--- a/packages/http/src/HttpExchange.cpp
+++ b/packages/http/src/HttpExchange.cpp
@@ -22,16 +22,16 @@
     case MessageFault::kBodyTooLarge:
     case MessageFault::kHeadTooLarge:
       return ExchangeError::kTooLarge;
-    case MessageFault::kCut:
-      return ExchangeError::kCut;
+    case MessageFault::kTruncated:
+      return ExchangeError::kTruncated;
     case MessageFault::kMalformed:
       break;
   }
   return ExchangeError::kBadFraming;
 }
 
-// Until when the other side keeps the connection, as its Keep-Alive says; a
-// part of that is left for the way there.
+// When the peer's keep-alive timeout ends, less a tenth of it: a request that
+// is sent later could arrive after the peer has closed the connection.
 TimePoint
 UsableUntil(const HttpAnswer& aAnswer)
 {
@@ -46,18 +46,18 @@
        ++i) {
     seconds = seconds * 10 + (text[i] - '0');
   }
-  constexpr std::int64_t kUsedPerMille = 900;
-  return Now() + Millis(seconds * kUsedPerMille);
+  constexpr std::int64_t kUsableMsPerSecond = 900;
+  return Now() + Millis(seconds * kUsableMsPerSecond);
 }
 
-// Wakes whoever waits for the other side.
+// Wakes threads that wait on the socket.
 void
 Shutdown(Poco::Net::StreamSocket aSocket)
 {
   try {
     aSocket.shutdown();
   } catch (const Poco::Exception&) {
-    return; // it has ended already, which wakes them, too
+    return; // already closed, which wakes them as well
   }
 }
 
@@ -77,7 +77,7 @@
       return "cancelled";
     case ExchangeError::kClosed:
       return "closed";
-    case ExchangeError::kCut:
+    case ExchangeError::kTruncated:
       return "cut";
     case ExchangeError::kBadFraming:
       return "bad-framing";
@@ -106,7 +106,7 @@
 Micros
 HttpExchange::Rested() const
 {
-  return mConnection ? mConnection->mRested : Micros(0);
+  return mConnection ? mConnection->mIdleTime : Micros(0);
 }
 
 bool
@@ -115,7 +115,8 @@
   if (!mConnection->mIn.empty()) {
     return true;
   }
-  // The connection may serve another request later, so the watch ends here.
+  // The watch ends with this call, as the connection may be reused for another
+  // request.
   const auto watch =
     OnCancel(mCancelled, [socket = mConnection->mSocket] { Shutdown(socket); });
   return AwaitReadable(mConnection->mSocket, aUntil - Now());
@@ -133,12 +134,12 @@
     const bool keepAlive = mConnection->mReader.KeepAlive();
     auto answer = mConnection->mReader.TakeAnswer();
     if (!aBelongs || aBelongs(answer)) {
-      mInStep = mInStep && keepAlive;
+      mInSync = mInSync && keepAlive;
       KeepOrDrop(answer);
       return answer;
     }
-    // A late answer to an earlier request; the right one may follow.
-    mInStep = false;
+    // A late answer to an earlier request; the expected one may follow.
+    mInSync = false;
     if (!keepAlive) {
       return tl::make_unexpected(ExchangeError::kBadFraming);
     }
@@ -156,7 +157,7 @@
       return tl::make_unexpected(ErrorOf(used.error()));
     }
     connection.mIn.erase(0, *used);
-    if (connection.mReader.Whole()) {
+    if (connection.mReader.IsComplete()) {
       return {};
     }
     const auto now = Now();
@@ -166,7 +167,8 @@
     if (now >= aDeadline) {
       return tl::make_unexpected(ExchangeError::kTimeout);
     }
-    if (!WaitReadable(std::min<TimePoint>(aDeadline, now + kSlice))) {
+    if (!WaitReadable(
+          std::min<TimePoint>(aDeadline, now + kStopCheckInterval))) {
       continue;
     }
     if (Cancelled()) {
@@ -175,13 +177,13 @@
     if (auto more = ReadMore(); !more) {
       return more;
     }
-    if (connection.mReader.Whole()) {
+    if (connection.mReader.IsComplete()) {
       return {};
     }
   }
 }
 
-// Reads what is there; the end of the connection may complete the answer.
+// Reads the available input. The end of the connection may complete the answer.
 tl::expected<void, ExchangeError>
 HttpExchange::ReadMore()
 {
@@ -191,32 +193,33 @@
   try {
     size = connection.mSocket.receiveBytes(buffer.data(), buffer.size());
   } catch (const Poco::Exception&) {
-    return tl::make_unexpected(connection.mReader.Begun()
-                                 ? ExchangeError::kCut
+    return tl::make_unexpected(connection.mReader.HasStarted()
+                                 ? ExchangeError::kTruncated
                                  : ExchangeError::kClosed);
   }
   if (size > 0) {
     connection.mIn.append(buffer.data(), static_cast<std::size_t>(size));
     return {};
   }
-  mInStep = false;
-  if (!connection.mReader.Begun()) {
+  mInSync = false;
+  if (!connection.mReader.HasStarted()) {
     return tl::make_unexpected(ExchangeError::kClosed);
   }
   if (!connection.mReader.End()) {
-    return tl::make_unexpected(ExchangeError::kCut);
+    return tl::make_unexpected(ExchangeError::kTruncated);
   }
   return {};
 }
 
-// Bytes behind the answer belong to no request, so their connection goes.
+// Returns the connection to the pool. One with bytes after the answer is
+// closed: they belong to no request.
 void
 HttpExchange::KeepOrDrop(const HttpAnswer& aAnswer)
 {
-  if (!mInStep || !mConnection->mIn.empty()) {
+  if (!mInSync || !mConnection->mIn.empty()) {
     return;
   }
-  mConnection->mIn.shrink_to_fit(); // it may rest for long
+  mConnection->mIn.shrink_to_fit(); // it may stay idle for long
   mConnection->mUsableUntil = UsableUntil(aAnswer);
   mPool.Return(std::move(mConnection));
 }
--- a/packages/http/src/HttpListener.cpp
+++ b/packages/http/src/HttpListener.cpp
@@ -20,20 +20,21 @@
 using Poco::Net::PollSet;
 
 constexpr int kBacklog = 512;
-// A box of a tenth of a core keeps few threads that rest.
+// Idle worker threads that are kept; a box may have a tenth of a core.
 constexpr int kMinThreads = 1;
-// POCO ends workers that have rested for this long.
+// Idle worker threads above kMinThreads end after this.
 constexpr int kThreadIdleSeconds = 10;
-// A worker's calls are shallow; address space counts on small boxes.
+// Stack of a worker. Its call depth is small, and small boxes are short of
+// address space.
 constexpr int kStackBytes = 256 << 10;
-// How often connections are looked over for those that took too long.
-constexpr Millis kSweep{ 500 };
-// With no connection there is nothing to look over.
-constexpr Millis kRest{ 60'000 };
+// How often the timeouts of connections are checked.
+constexpr Millis kSweepInterval{ 500 };
+// Poll timeout without connections, when there are no timeouts to check.
+constexpr Millis kPollTimeoutIdle{ 60'000 };
 
 } // namespace
 
-// The reading thread and the workers. Owned by the listener.
+// The I/O thread and the workers. Owned by the listener.
 class HttpListener::Loop
 {
 public:
@@ -67,12 +68,12 @@
   void OnEvents(const Poco::Net::Socket& aSocket, int aModes);
   void Sweep();
   void Rearm(const HttpConnectionPtr& aConnection);
-  void Forget(const HttpConnectionPtr& aConnection);
+  void Remove(const HttpConnectionPtr& aConnection);
   void Dispatch(const HttpConnectionPtr& aConnection,
                 const std::vector<PendingCallPtr>& aCalls);
   void Serve(const HttpConnectionPtr& aConnection, const PendingCallPtr& aCall);
   HttpReply RunHandler(PendingCall& aCall);
-  bool Quiet() const;
+  bool IsDrained() const;
   ConnectionLimits Limits()
   {
     const std::lock_guard lock(mLimitsMutex);
@@ -82,23 +83,24 @@
   const HttpListenerOptions mOptions;
   const HttpHandler mHandler;
   std::mutex mLimitsMutex;
-  ConnectionLimits mLimits;                   // of new connections
-  std::unique_ptr<Poco::ThreadPool> mWorkers; // null: the reading thread
+  ConnectionLimits mLimits; // of new connections
+  // Null if the I/O thread runs the handler.
+  std::unique_ptr<Poco::ThreadPool> mWorkers;
   Poco::Net::ServerSocket mSocket;
   PollSet mPoll;
   WakeUp mWake;
-  // Of the reading thread alone.
+  // Used by the I/O thread only.
   std::map<Poco::Net::Socket, HttpConnectionPtr> mConnections;
   std::map<Poco::Net::Socket, int> mModes;
-  std::mutex mTouchedMutex;
-  std::vector<HttpConnectionPtr> mTouched; // by workers, to be re-armed
+  std::mutex mToRearmMutex;
+  std::vector<HttpConnectionPtr> mToRearm; // workers ask to re-arm these
   std::atomic<int> mOpenCalls{ 0 };
   std::atomic<bool> mDraining{ false };
   std::atomic<bool> mStopping{ false };
   std::thread mThread;
 };
 
-// One request on a worker.
+// Runs one request on a worker; deletes itself.
 class HttpListener::Loop::Job : public Poco::Runnable
 {
 public:
@@ -124,7 +126,8 @@
 void
 HttpListener::Loop::Open()
 {
-  // Without reusePort, which POCO sets by default: a taken port is an error.
+  // Without SO_REUSEPORT, which POCO sets by default, so that a port in use is
+  // an error.
   mSocket.bind(Poco::Net::SocketAddress(mOptions.mAddress), true, false);
   mSocket.listen(kBacklog);
   mSocket.setBlocking(false);
@@ -149,7 +152,7 @@
 }
 
 bool
-HttpListener::Loop::Quiet() const
+HttpListener::Loop::IsDrained() const
 {
   return mOpenCalls == 0 && mConnections.empty();
 }
@@ -157,7 +160,7 @@
 void
 HttpListener::Loop::Run()
 {
-  auto nextSweep = Now() + kSweep;
+  auto nextSweep = Now() + kSweepInterval;
   bool accepting = true;
   for (;;) {
     if (mStopping && accepting) {
@@ -166,12 +169,12 @@
       mSocket.close();
       Sweep();
     }
-    if (mStopping && Quiet()) {
+    if (mStopping && IsDrained()) {
       return;
     }
     const auto rest =
       mConnections.empty() && !mStopping
-        ? kRest
+        ? kPollTimeoutIdle
         : std::max(Millis(1), std::chrono::ceil<Millis>(nextSweep - Now()));
     const auto events = mPoll.poll(Poco::Timespan(Micros(rest).count()));
     for (const auto& [socket, modes] : events) {
@@ -179,7 +182,7 @@
     }
     if (Now() >= nextSweep) {
       Sweep();
-      nextSweep = Now() + kSweep;
+      nextSweep = Now() + kSweepInterval;
     }
   }
 }
@@ -189,12 +192,12 @@
 {
   if (aSocket == mWake.Socket()) {
     mWake.Clear();
-    std::vector<HttpConnectionPtr> touched;
+    std::vector<HttpConnectionPtr> toRearm;
     {
-      const std::lock_guard lock(mTouchedMutex);
-      touched.swap(mTouched);
+      const std::lock_guard lock(mToRearmMutex);
+      toRearm.swap(mToRearm);
     }
-    for (const auto& connection : touched) {
+    for (const auto& connection : toRearm) {
       Rearm(connection);
     }
     return;
@@ -234,7 +237,7 @@
     mModes[socket] = PollSet::POLL_READ;
     mPoll.add(socket, PollSet::POLL_READ);
   } catch (const Poco::Exception&) {
-    return; // it was gone before it was taken, or there is no descriptor left
+    return; // closed before it was accepted, or out of file descriptors
   }
 }
 
@@ -245,13 +248,13 @@
   if (!mConnections.contains(socket)) {
     return;
   }
-  const auto wants = aConnection->Wants();
-  if (wants.mOver) {
-    Forget(aConnection);
+  const auto interest = aConnection->Interest();
+  if (interest.mClosed) {
+    Remove(aConnection);
     return;
   }
-  const int modes = (wants.mRead ? PollSet::POLL_READ : 0) |
-                    (wants.mWrite ? PollSet::POLL_WRITE : 0);
+  const int modes = (interest.mRead ? PollSet::POLL_READ : 0) |
+                    (interest.mWrite ? PollSet::POLL_WRITE : 0);
   auto& armed = mModes[socket];
   if (armed != modes) {
     mPoll.update(socket, modes);
@@ -260,7 +263,7 @@
 }
 
 void
-HttpListener::Loop::Forget(const HttpConnectionPtr& aConnection)
+HttpListener::Loop::Remove(const HttpConnectionPtr& aConnection)
 {
   auto socket = aConnection->Socket();
   mPoll.remove(socket);
@@ -270,7 +273,7 @@
   try {
     socket.close();
   } catch (const Poco::Exception&) {
-    return; // it was closed already
+    return; // already closed
   }
 }
 
@@ -278,9 +281,9 @@
 HttpListener::Loop::Sweep()
 {
   const auto now = Now();
-  const auto connections = mConnections; // Rearm takes some away
+  const auto connections = mConnections; // Rearm may remove some
   for (const auto& [socket, connection] : connections) {
-    connection->OnTime(now, mStopping);
+    connection->CheckTimeouts(now, mStopping);
     Rearm(connection);
   }
 }
@@ -328,14 +331,14 @@
   const auto reply = RunHandler(*aCall);
   const auto next = aConnection->Complete(aCall, reply, mDraining);
   Dispatch(aConnection, next);
-  const auto wants = aConnection->Wants();
+  const auto interest = aConnection->Interest();
   --mOpenCalls;
-  // The reading thread waits for the right things already, unless the answer
-  // could not be written whole, or ended the connection.
-  if (wants.mWrite || wants.mOver || mStopping) {
+  // The I/O thread has to poll for other events only if the answer was not
+  // written completely or closed the connection.
+  if (interest.mWrite || interest.mClosed || mStopping) {
     {
-      const std::lock_guard lock(mTouchedMutex);
-      mTouched.push_back(aConnection);
+      const std::lock_guard lock(mToRearmMutex);
+      mToRearm.push_back(aConnection);
     }
     mWake.Signal();
   }
--- a/packages/http/src/HttpPool.cpp
+++ b/packages/http/src/HttpPool.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-// Readable while idle means closed by the other side, or out of step.
+// An idle connection that is readable was closed by the peer, or has bytes that
+// belong to no request.
 bool
-IsQuiet(const ClientConnection& aConnection)
+HasNoInput(const ClientConnection& aConnection)
 {
   return !AwaitReadable(aConnection.mSocket, Micros(0));
 }
@@ -69,7 +70,8 @@
 void
 HttpPool::DropIdle()
 {
-  std::deque<std::unique_ptr<ClientConnection>> idle; // closed without the lock
+  // Destroyed, and so closed, after the lock is released.
+  std::deque<std::unique_ptr<ClientConnection>> idle;
   const std::lock_guard lock(mMutex);
   idle.swap(mIdle);
 }
@@ -89,7 +91,8 @@
 HttpPool::TakeIdle()
 {
   const auto now = Now();
-  std::deque<std::unique_ptr<ClientConnection>> old; // closed without the lock
+  // Destroyed, and so closed, after the lock is released.
+  std::deque<std::unique_ptr<ClientConnection>> old;
   std::unique_ptr<ClientConnection> taken;
   const std::lock_guard lock(mMutex);
   while (!mIdle.empty() &&
@@ -100,12 +103,12 @@
   while (!mIdle.empty() && !taken) {
     auto newest = std::move(mIdle.back());
     mIdle.pop_back();
-    const bool usable = now < newest->mUsableUntil && IsQuiet(*newest);
+    const bool usable = now < newest->mUsableUntil && HasNoInput(*newest);
     auto& place = usable ? taken : old.emplace_back();
     place = std::move(newest);
   }
   if (taken) {
-    taken->mRested = now - taken->mIdleSince;
+    taken->mIdleTime = now - taken->mIdleSince;
   }
   return taken;
 }
@@ -171,7 +174,7 @@
         *this, std::move(connection), aRequest.mMethod == "HEAD");
     }
     if (result == SendResult::kNothingSent && kept) {
-      continue; // it had been closed; another one
+      continue; // the peer had closed it; try another one
     }
     Drop();
     return tl::make_unexpected(result == SendResult::kNothingSent
--- a/packages/http/src/HttpTypes.cpp
+++ b/packages/http/src/HttpTypes.cpp
@@ -132,7 +132,7 @@
 HttpHeaders
 WithoutHopHeaders(const HttpHeaders& aHeaders)
 {
-  // The Connection header names further headers of this one connection.
+  // The Connection header names further hop-by-hop headers.
   const Poco::StringTokenizer named(HeaderValue(aHeaders, "Connection"),
                                     ",",
                                     Poco::StringTokenizer::TOK_TRIM |
--- a/packages/http/src/ListenerRefusal.cpp
+++ b/packages/http/src/ListenerRefusal.cpp
@@ -12,7 +12,7 @@
       return "headers-too-large";
     case ListenerRefusal::kBodyTooLarge:
       return "body-too-large";
-    case ListenerRefusal::kSlowHead:
+    case ListenerRefusal::kRequestTimeout:
       return "request-too-slow";
     case ListenerRefusal::kNoWorker:
       return "no-worker";
@@ -32,7 +32,7 @@
       return 431;
     case ListenerRefusal::kBodyTooLarge:
       return 413;
-    case ListenerRefusal::kSlowHead:
+    case ListenerRefusal::kRequestTimeout:
       return 408;
     case ListenerRefusal::kNoWorker:
       return 503;
--- a/packages/http/src/ListenerRefusalPriv.h
+++ b/packages/http/src/ListenerRefusalPriv.h
@@ -1,11 +1,11 @@
-// The answers of a listener to what it cannot hand to its handler.
+// Answers of a listener to requests that do not reach its handler.
 #pragma once
 
 #include "porttiller/http/HttpListener.h"
 
 namespace porttiller {
 
-// The owner's own form of the refusal, or a plain one.
+// Made by mRefuse of aOptions, or plain text if that is not set.
 HttpReply
 MakeRefusal(const HttpListenerOptions& aOptions, ListenerRefusal aRefusal);
 
--- a/packages/http/src/MessageReader.cpp
+++ b/packages/http/src/MessageReader.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kInformational = 1; // 1xx: the final answer follows
+constexpr int kInformational = 1; // 1xx: interim, the final answer follows
 constexpr int kStatusClass = 100;
 
 } // namespace
@@ -23,7 +23,7 @@
       return "headers-too-large";
     case MessageFault::kBodyTooLarge:
       return "body-too-large";
-    case MessageFault::kCut:
+    case MessageFault::kTruncated:
       break;
   }
   return "cut";
@@ -43,8 +43,8 @@
   tl::expected<std::size_t, MessageFault> Feed(std::string_view aBytes);
   tl::expected<void, MessageFault> End();
 
-  bool mBegun = false;
-  bool mWhole = false;
+  bool mStarted = false;
+  bool mComplete = false;
   bool mKeepAlive = false;
   HttpRequestData mRequest;
   HttpAnswer mAnswer;
@@ -59,9 +59,9 @@
   int OnTarget(std::string_view aBytes);
   int OnName(std::string_view aBytes);
   int OnValue(std::string_view aBytes);
-  int OnHeadDone();
+  int OnHeadersComplete();
   int OnBody(std::string_view aBytes);
-  int OnWhole();
+  int OnMessageComplete();
   int CountHeadBytes(std::size_t aBytes);
   MessageFault Fault() const
   {
@@ -92,8 +92,8 @@
   http_parser_init(
     &mState, mKind == MessageKind::kRequest ? HTTP_REQUEST : HTTP_RESPONSE);
   mState.data = this;
-  mBegun = false;
-  mWhole = false;
+  mStarted = false;
+  mComplete = false;
   mKeepAlive = false;
   mRequest = {};
   mAnswer = {};
@@ -121,13 +121,13 @@
         return Of(aParser).OnValue({ aAt, aSize });
       };
     made.on_headers_complete = [](http_parser* aParser) {
-      return Of(aParser).OnHeadDone();
+      return Of(aParser).OnHeadersComplete();
     };
     made.on_body = [](http_parser* aParser, const char* aAt, size_t aSize) {
       return Of(aParser).OnBody({ aAt, aSize });
     };
     made.on_message_complete = [](http_parser* aParser) {
-      return Of(aParser).OnWhole();
+      return Of(aParser).OnMessageComplete();
     };
     return made;
   }();
@@ -137,14 +137,14 @@
 tl::expected<std::size_t, MessageFault>
 MessageReader::Parser::Feed(std::string_view aBytes)
 {
-  if (aBytes.empty() || mWhole) {
+  if (aBytes.empty() || mComplete) {
     return 0;
   }
-  mBegun = true;
+  mStarted = true;
   const auto used =
     http_parser_execute(&mState, &Callbacks(), aBytes.data(), aBytes.size());
-  if (mWhole) {
-    return used; // paused at its end
+  if (mComplete) {
+    return used; // the parser is paused at the end of the message
   }
   if (mState.http_errno != HPE_OK || mState.upgrade != 0) {
     return tl::make_unexpected(Fault());
@@ -155,11 +155,11 @@
 tl::expected<void, MessageFault>
 MessageReader::Parser::End()
 {
-  if (mBegun && !mWhole && mFault == std::nullopt) {
+  if (mStarted && !mComplete && mFault == std::nullopt) {
     http_parser_execute(&mState, &Callbacks(), nullptr, 0);
   }
-  if (!mWhole) {
-    return tl::make_unexpected(MessageFault::kCut);
+  if (!mComplete) {
+    return tl::make_unexpected(MessageFault::kTruncated);
   }
   return {};
 }
@@ -206,7 +206,7 @@
 }
 
 int
-MessageReader::Parser::OnHeadDone()
+MessageReader::Parser::OnHeadersComplete()
 {
   mKeepAlive = http_should_keep_alive(&mState) != 0;
   if (mKind == MessageKind::kRequest) {
@@ -223,7 +223,7 @@
     mFault = MessageFault::kBodyTooLarge;
     return -1;
   }
-  return mAnswersHead ? 1 : 0; // 1: there is no body
+  return mAnswersHead ? 1 : 0; // http_parser: 1 skips the body
 }
 
 int
@@ -238,7 +238,7 @@
 }
 
 int
-MessageReader::Parser::OnWhole()
+MessageReader::Parser::OnMessageComplete()
 {
   if (mKind == MessageKind::kAnswer &&
       mAnswer.mStatus / kStatusClass == kInformational) {
@@ -246,7 +246,7 @@
     mHeadBytes = 0;
     return 0; // the final answer follows
   }
-  mWhole = true;
+  mComplete = true;
   http_parser_pause(&mState, 1);
   return 0;
 }
@@ -280,15 +280,15 @@
 }
 
 bool
-MessageReader::Begun() const
+MessageReader::HasStarted() const
 {
-  return mParser->mBegun;
+  return mParser->mStarted;
 }
 
 bool
-MessageReader::Whole() const
+MessageReader::IsComplete() const
 {
-  return mParser->mWhole;
+  return mParser->mComplete;
 }
 
 bool
@@ -300,14 +300,14 @@
 HttpRequestData
 MessageReader::TakeRequest()
 {
-  assert(mParser->mWhole);
+  assert(mParser->mComplete);
   return std::move(mParser->mRequest);
 }
 
 HttpAnswer
 MessageReader::TakeAnswer()
 {
-  assert(mParser->mWhole);
+  assert(mParser->mComplete);
   return std::move(mParser->mAnswer);
 }
 
--- a/packages/http/src/SocketsPriv.cpp
+++ b/packages/http/src/SocketsPriv.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+// An hour. AwaitReadable polls again after that; poll(2) takes an int.
 constexpr Millis::rep kMaxPollMs = 3'600'000;
 
 } // namespace
@@ -62,7 +63,7 @@
   try {
     mSocket.sendBytes(&byte, 1);
   } catch (const Poco::Exception&) {
-    return; // its buffer is full, so the thread is woken already
+    return; // buffer full: a wake-up is pending already
   }
 }
 
--- a/packages/http/src/SocketsPriv.h
+++ b/packages/http/src/SocketsPriv.h
@@ -1,4 +1,4 @@
-// Small helpers around POCO's sockets.
+// Helpers for POCO sockets.
 #pragma once
 
 #include "porttiller/core/Time.h"
@@ -9,31 +9,31 @@
 
 namespace porttiller {
 
-// At least one microsecond: POCO takes zero for "no limit".
+// At least one microsecond, as zero means "no timeout" to POCO.
 Poco::Timespan
 ToTimespan(Micros aTime);
 
-// True once there is something to read, or reading tells what is wrong; waits
-// up to aTime. One system call: POCO's own poll makes and closes a descriptor
-// each time.
+// Waits up to aTime for input; also true on an error, which the next read
+// reports. Calls poll(2) directly, as POCO's Socket::poll creates and closes an
+// epoll descriptor on each call.
 bool
 AwaitReadable(const Poco::Net::Socket& aSocket, Micros aTime);
 
-// Ends connections whose other side says nothing: a box without power does not
-// even reset them. Sent bytes that stay unacknowledged for aTime end it.
+// Sets TCP_USER_TIMEOUT: the connection ends if sent bytes stay unacknowledged
+// for aTime. A box that lost power sends no reset.
 void
 SetUserTimeout(Poco::Net::StreamSocket& aSocket, Millis aTime);
 
-// Wakes a thread that polls: a datagram socket that is sent to by itself.
+// Wakes a thread that polls: a UDP socket that sends to itself.
 class WakeUp
 {
 public:
   WakeUp();
 
   const Poco::Net::DatagramSocket& Socket() const { return mSocket; }
-  // From any thread.
+  // Callable from any thread.
   void Signal();
-  // By the thread that was woken.
+  // Called by the woken thread.
   void Clear();
 
 private:
--- a/packages/http/tests/CancellationTest.cpp
+++ b/packages/http/tests/CancellationTest.cpp
@@ -7,38 +7,39 @@
 
 using namespace porttiller;
 
-TEST_CASE("A listener hears of a cancellation once, at once when it is late")
+TEST_CASE(
+  "A listener runs once, and at once if registered after the cancellation")
 {
   const auto cancellation = Cancellation::Make();
-  int heard = 0;
-  const auto watch = OnCancel(cancellation, [&] { ++heard; });
+  int calls = 0;
+  const auto watch = OnCancel(cancellation, [&] { ++calls; });
   CHECK_FALSE(cancellation->IsCancelled());
   cancellation->Cancel();
   cancellation->Cancel();
-  CHECK(heard == 1);
-  const auto late = OnCancel(cancellation, [&] { ++heard; });
-  CHECK(heard == 2);
+  CHECK(calls == 1);
+  const auto late = OnCancel(cancellation, [&] { ++calls; });
+  CHECK(calls == 2);
 }
 
-TEST_CASE("A listener does not run once its watch has ended")
+TEST_CASE("A listener does not run after its watch is destroyed")
 {
   const auto cancellation = Cancellation::Make();
-  int heard = 0;
+  int calls = 0;
   {
-    const auto watch = OnCancel(cancellation, [&] { ++heard; });
+    const auto watch = OnCancel(cancellation, [&] { ++calls; });
   }
   cancellation->Cancel();
-  CHECK(heard == 0);
-  static_cast<void>(OnCancel(nullptr, [&] { ++heard; }));
-  CHECK(heard == 0);
+  CHECK(calls == 0);
+  static_cast<void>(OnCancel(nullptr, [&] { ++calls; }));
+  CHECK(calls == 0);
 }
 
-TEST_CASE("The end of a watch waits for a listener that runs")
+TEST_CASE("Destroying a watch waits for its running listener")
 {
   constexpr int kRounds = 300;
   for (int i = 0; i < kRounds; ++i) {
     const auto cancellation = Cancellation::Make();
-    auto target = std::make_unique<int>(0); // gone with its watch
+    auto target = std::make_unique<int>(0); // freed after its watch
     std::optional<Cancellation::Watch> watch(
       OnCancel(cancellation, [&] { ++*target; }));
     std::thread canceller([&] { cancellation->Cancel(); });
--- a/packages/http/tests/HttpListenerTest.cpp
+++ b/packages/http/tests/HttpListenerTest.cpp
@@ -1,4 +1,5 @@
-// The listener over real sockets: order, hang-up, draining, limits.
+// HttpListener over real sockets: order of answers, disconnects, draining and
+// limits.
 #include "porttiller/http/HttpListener.h"
 #include "porttiller/http/HttpPool.h"
 
@@ -17,7 +18,7 @@
 
 constexpr const char* kAddress = "127.0.0.1:22950";
 
-// Holds requests back until they are let go by target.
+// A handler that blocks each request until its target is opened.
 class Gate
 {
 public:
@@ -48,7 +49,7 @@
       lock, std::chrono::seconds(10), [&] { return mArrived >= aCount; });
   }
 
-  // Looks again at the cancel flags, which tell nobody.
+  // Polls the cancel flags every 10 ms, aLooks times at most.
   bool WaitCancelled(int aLooks = 1000)
   {
     std::unique_lock lock(mMutex);
@@ -91,7 +92,7 @@
     mSocket.sendBytes(aBytes.data(), static_cast<int>(aBytes.size()));
   }
 
-  // What arrives until aEnd is in it, or the connection ends.
+  // Reads until the text contains aEnd or the connection ends.
   std::string ReadUntil(const std::string& aEnd)
   {
     std::array<char, 4096> buffer{};
@@ -120,7 +121,7 @@
 
 } // namespace
 
-TEST_CASE("Pipelined requests run side by side and are answered in order")
+TEST_CASE("Pipelined requests run concurrently and are answered in order")
 {
   Gate gate;
   const auto listener = Listen(gate);
@@ -135,7 +136,7 @@
   CHECK(text.find("/two") < text.find("/three"));
 }
 
-TEST_CASE("A request that may change something runs alone")
+TEST_CASE("A request with an unsafe method runs alone")
 {
   Gate gate;
   const auto listener = Listen(gate);
@@ -153,7 +154,7 @@
   CHECK(text.find("/two") < text.find("/three"));
 }
 
-TEST_CASE("A caller that hangs up cancels its requests")
+TEST_CASE("A caller that disconnects cancels its requests")
 {
   Gate gate;
   const auto listener = Listen(gate);
@@ -164,7 +165,7 @@
   CHECK(gate.WaitCancelled());
 }
 
-TEST_CASE("Draining answers what was read and asks callers to close")
+TEST_CASE("Draining answers running requests and sends Connection: close")
 {
   Gate gate;
   auto listener = Listen(gate);
@@ -183,16 +184,16 @@
   stopper.join();
 }
 
-TEST_CASE("Draining answers every pipelined request that runs already")
+TEST_CASE("Draining answers every pipelined request that is running")
 {
-  // The first answer used to end the connection, and with it requests that
-  // servers were at work on.
+  // Closing the connection after the first answer would lose the requests
+  // behind it, which servers are already running.
   Gate gate;
   auto listener = Listen(gate);
   Client client;
   client.Send(Get("/one") + Get("/two") + Get("/three"));
   REQUIRE(gate.WaitArrived(3));
-  gate.Open("/three"); // done before the stop, sent after it
+  gate.Open("/three"); // completes before the drain, is answered after it
   listener->BeginDrain();
   gate.Open("/one");
   gate.Open("/two");
@@ -205,7 +206,7 @@
   client.Close();
 }
 
-TEST_CASE("What is sent behind a closing answer is not run")
+TEST_CASE("Requests after one with Connection: close are not run")
 {
   Gate gate;
   const auto listener = Listen(gate);
@@ -220,7 +221,7 @@
   CHECK(text.find("/two") == std::string::npos);
 }
 
-TEST_CASE("Slow, oversized and malformed requests get a status of their own")
+TEST_CASE("Slow, oversized and malformed requests get distinct statuses")
 {
   Gate gate;
   const auto listener =
@@ -239,7 +240,7 @@
         "HTTP/1.1 413");
 }
 
-TEST_CASE("A pool keeps connections, and drops those with bytes to spare")
+TEST_CASE("A pool reuses one connection for consecutive requests")
 {
   Gate gate;
   const auto listener = Listen(gate);
@@ -256,7 +257,7 @@
   CHECK(pool.Opened() == 1);
 }
 
-TEST_CASE("Without workers the reading thread serves, in order")
+TEST_CASE("Without workers the I/O thread runs the requests in order")
 {
   Gate gate;
   gate.Open("/one");
--- a/packages/http/tests/HttpPoolTest.cpp
+++ b/packages/http/tests/HttpPoolTest.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.0.1:22951";
-constexpr Millis kTime{ 5000 };
+constexpr Millis kTimeout{ 5000 };
 
 bool
 IsAnswered(HttpPool& aPool)
 {
-  const auto until = Now() + kTime;
+  const auto until = Now() + kTimeout;
   const auto exchange =
     aPool.Begin({ .mMethod = "GET", .mTarget = "/" }, until);
   return exchange && (*exchange)->ReadAnswer(until, {}).has_value();
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("A pool uses no connection again that was idle when one went silent")
+TEST_CASE("After DropIdle a pool opens a new connection")
 {
   const auto listener =
     HttpListener::Make({ .mAddress = kAddress }, [](HttpCall&) {
--- a/packages/http/tests/MessageReaderTest.cpp
+++ b/packages/http/tests/MessageReaderTest.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("Two pipelined requests are told apart")
+TEST_CASE("Two pipelined requests are read separately")
 {
   auto reader = Requests();
   const std::string first = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -31,7 +31,7 @@
   const auto used = reader.Feed(both);
   REQUIRE(used);
   CHECK(*used == first.size());
-  REQUIRE(reader.Whole());
+  REQUIRE(reader.IsComplete());
   CHECK(reader.KeepAlive());
   CHECK(reader.TakeRequest().mTarget == "/a");
   reader.Next();
@@ -41,7 +41,7 @@
   CHECK(request.mBody == "abc");
 }
 
-TEST_CASE("A message reads the same however it is cut into pieces")
+TEST_CASE("A message reads the same however its bytes are split")
 {
   const std::string text = "POST /b HTTP/1.1\r\nHost: x\r\nA: 1\r\nA: 2\r\n"
                            "Transfer-Encoding: chunked\r\n\r\n"
@@ -55,7 +55,7 @@
       RC_ASSERT(used.has_value());
       at += *used;
     }
-    RC_ASSERT(reader.Whole());
+    RC_ASSERT(reader.IsComplete());
     const auto request = reader.TakeRequest();
     RC_ASSERT(request.mBody == "abcd0123456789abcdef");
     RC_ASSERT(request.mHeaders.size() == 4U);
@@ -63,7 +63,7 @@
   }));
 }
 
-TEST_CASE("What could be read in two ways is malformed")
+TEST_CASE("Ambiguous framing is malformed")
 {
   for (const char* headers : {
          "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("Limits on headers and bodies hold")
+TEST_CASE("Messages over the header or body limit are errors")
 {
   auto small = Requests({ .mMaxHeaderBytes = 64, .mMaxBodyBytes = 8 });
   CHECK(small.Feed("GET /" + std::string(100, 'x') + " HTTP/1.1\r\n").error() ==
@@ -99,18 +99,18 @@
           .error() == MessageFault::kBodyTooLarge);
 }
 
-TEST_CASE("An answer without a length ends with its connection")
+TEST_CASE("An answer without a length ends with the connection")
 {
   auto reader = Answers();
   REQUIRE(reader.Feed("HTTP/1.1 200 OK\r\nA: b\r\n\r\nabc"));
-  CHECK_FALSE(reader.Whole());
+  CHECK_FALSE(reader.IsComplete());
   REQUIRE(reader.End());
-  CHECK(reader.Whole());
+  CHECK(reader.IsComplete());
   CHECK_FALSE(reader.KeepAlive());
   CHECK(reader.TakeAnswer().mBody == "abc");
 }
 
-TEST_CASE("A cut answer is never whole")
+TEST_CASE("A truncated answer is never complete")
 {
   const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc";
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
@@ -119,21 +119,21 @@
     for (std::size_t size = 1; size < whole.size(); ++size) {
       auto reader = Answers();
       REQUIRE(reader.Feed(std::string_view(whole).substr(0, size)));
-      CHECK_FALSE(reader.Whole());
+      CHECK_FALSE(reader.IsComplete());
       CHECK_FALSE(reader.End().has_value());
     }
   }
 }
 
-TEST_CASE("An answer to HEAD has no body, and 100 Continue is no answer")
+TEST_CASE("An answer to HEAD has no body, and 100 Continue is skipped")
 {
   auto reader = Answers();
   reader.Next(true);
   REQUIRE(reader.Feed("HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n"));
-  CHECK(reader.Whole());
+  CHECK(reader.IsComplete());
   reader.Next();
   REQUIRE(reader.Feed("HTTP/1.1 100 Continue\r\n\r\n"
                       "HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n"));
-  REQUIRE(reader.Whole());
+  REQUIRE(reader.IsComplete());
   CHECK(reader.TakeAnswer().mStatus == 201);
 }
