--- a/apps/porttiller/SettingsFile.cpp
+++ b/apps/porttiller/SettingsFile.cpp
@@ -18,7 +18,7 @@
 {
   std::error_code error;
   const auto time = std::filesystem::last_write_time(mPath, error);
-  return error ? mReadVersion : time; // an absent file changes nothing
+  return error ? mReadVersion : time; // a missing file is no change
 }
 
 bool
@@ -52,7 +52,8 @@
   }
   auto others = aReloaded;
   others.mLogLevel = aInForce.mLogLevel;
-  // Only the first life of a box has this set, so it changes for every box.
+  // Not compared: it is set only at the first start of a box, and later versions
+  // of the file always differ in it.
   others.mRegistration.mFirstStart = aInForce.mRegistration.mFirstStart;
   const bool needsStart = ToJsonText(others) != ToJsonText(aInForce);
   LogLine(LogLevel::kInfo, "settings_reloaded")
--- a/apps/porttiller/SettingsFile.h
+++ b/apps/porttiller/SettingsFile.h
@@ -1,4 +1,4 @@
-// The daemon's settings file: read at the start, on SIGHUP and when it changes.
+// The daemon's settings file: read at startup, on SIGHUP and when it changes.
 #pragma once
 
 #include "porttiller/config/Settings.h"
@@ -9,15 +9,15 @@
 
 namespace porttiller {
 
-// Owned by main; used by its thread alone.
+// Owned by main. Not thread-safe.
 class SettingsFile
 {
 public:
   explicit SettingsFile(std::string aPath);
 
-  // Reads and checks the file. The error has a line for each problem.
+  // Reads and validates the file. The error has a line for each problem.
   tl::expected<Settings, std::string> Read();
-  // The file was written since Read was last called.
+  // Whether the file was modified since the last call of Read.
   bool Changed() const;
 
 private:
@@ -27,7 +27,8 @@
   std::filesystem::file_time_type mReadVersion;
 };
 
-// Takes over what can change while the daemon runs, and logs what cannot.
+// Applies the log level, the one setting that can change at run time, and logs
+// whether others need a restart.
 void
 ApplyReloaded(const Settings& aInForce, const Settings& aReloaded);
 
--- a/apps/porttiller/main.cpp
+++ b/apps/porttiller/main.cpp
@@ -18,8 +18,8 @@
 constexpr int kExitOk = 0;
 constexpr int kExitFailed = 1;
 constexpr int kExitBadSettings = 2;
-// How often the settings file is looked at; it may change without a signal.
-constexpr timespec kFileCheck{ .tv_sec = 2, .tv_nsec = 0 };
+// How often the settings file is checked for a change without a signal.
+constexpr timespec kFileCheckInterval{ .tv_sec = 2, .tv_nsec = 0 };
 
 cxxopts::Options
 MakeOptions()
@@ -50,8 +50,9 @@
   return signals;
 }
 
-// Signals are taken by WaitForStop; every thread started later inherits this.
-// Writing to a closed connection is an error of that write and no more.
+// Blocks the signals that WaitForStop receives; threads that are started later
+// inherit the mask. Ignores SIGPIPE, so that a write to a closed connection
+// fails with an error and does not end the process.
 void
 PrepareSignals()
 {
@@ -72,13 +73,13 @@
     .With("problem", reloaded.error());
 }
 
-// Returns on a signal to stop. Looks after the settings file until then.
+// Returns on SIGTERM or SIGINT. Reloads the settings file until then.
 void
 WaitForStop(SettingsFile& aFile, const Settings& aInForce)
 {
   const auto signals = HandledSignals();
   for (;;) {
-    const auto signal = sigtimedwait(&signals, nullptr, &kFileCheck);
+    const auto signal = sigtimedwait(&signals, nullptr, &kFileCheckInterval);
     if (signal == SIGTERM || signal == SIGINT) {
       LogLine(LogLevel::kInfo, "stopping").With("signal", signal);
       return;
@@ -104,7 +105,7 @@
   return kExitOk;
 }
 
-// Empty when none is named.
+// Path from --config or --config-env; empty if neither is given.
 std::string
 SettingsPath(const cxxopts::ParseResult& aArguments)
 {
--- a/apps/porttillerctl/Commands.cpp
+++ b/apps/porttillerctl/Commands.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr Millis kWatchWait{ 10'000 };
-constexpr Millis kDumpTime{ 3000 };
+constexpr Millis kWatchTimeout{ 10'000 }; // of one long poll
+constexpr Millis kDumpTimeout{ 3000 };
 
 ExitCode
 Usage(const std::string& aText)
@@ -61,11 +61,11 @@
     return Usage("delete KIND NAME");
   }
   const ObjectKey key{ aArguments.mOperands[0], aArguments.mOperands[1] };
-  const auto held = aClient.Get(key);
-  if (!held) {
-    return ReportError(key.mKind + " " + key.mName, held.error());
+  const auto current = aClient.Get(key);
+  if (!current) {
+    return ReportError(key.mKind + " " + key.mName, current.error());
   }
-  const auto deleted = aClient.Delete(key, held->mVersion);
+  const auto deleted = aClient.Delete(key, current->mVersion);
   if (!deleted) {
     return ReportError("delete", deleted.error());
   }
@@ -89,25 +89,25 @@
   auto revision = list->mTo;
   int left = aArguments.mCount;
   while (aArguments.mCount == 0 || left > 0) {
-    const auto news = aClient.Watch(kind, revision, kWatchWait);
-    if (!news) {
-      return ReportError("watch", news.error());
+    const auto changes = aClient.Watch(kind, revision, kWatchTimeout);
+    if (!changes) {
+      return ReportError("watch", changes.error());
     }
-    for (const auto& object : news->mObjects) {
+    for (const auto& object : changes->mObjects) {
       PrintObject(object, aArguments.mFormat);
       --left;
     }
-    revision = news->mTo;
+    revision = changes->mTo;
   }
   return ExitCode::kOk;
 }
 
-// One object of a file that is applied.
+// An object of the file passed to apply.
 struct Document
 {
   ObjectKey mKey;
   std::string mSpec;
-  std::uint64_t mVersion = 0; // 0: whatever is there now
+  std::uint64_t mVersion = 0; // expected version; 0: any
 };
 
 tl::expected<Document, FieldErrors>
@@ -179,11 +179,11 @@
 {
   auto version = aDocument.mVersion;
   if (version == 0) {
-    const auto held = aClient.Get(aDocument.mKey);
-    if (!held && held.error().mKind != StoreErrorKind::kNotFound) {
-      return ReportError("apply", held.error());
+    const auto current = aClient.Get(aDocument.mKey);
+    if (!current && current.error().mKind != StoreErrorKind::kNotFound) {
+      return ReportError("apply", current.error());
     }
-    version = held ? held->mVersion : 0;
+    version = current ? current->mVersion : 0;
   }
   const auto written =
     WriteSettled(aClient, aDocument.mKey, version, aDocument.mSpec);
@@ -226,7 +226,7 @@
     return Usage("dump ADMIN-IP:PORT");
   }
   HttpPool pool({ .mAddress = aArguments.mOperands[0] });
-  const auto deadline = Now() + kDumpTime;
+  const auto deadline = Now() + kDumpTimeout;
   const auto exchange =
     pool.Begin({ .mMethod = "GET", .mTarget = "/state" }, deadline);
   if (!exchange || !(*exchange)->WaitReadable(deadline)) {
--- a/apps/porttillerctl/Commands.h
+++ b/apps/porttillerctl/Commands.h
@@ -14,7 +14,7 @@
   std::string mCommand;
   std::vector<std::string> mOperands;
   std::string mFile; // of apply
-  int mCount = 0;    // of watch: end after so many changes; 0: never
+  int mCount = 0;    // of watch: end after this many changes; 0: never
   Format mFormat = Format::kTable;
 };
 
@@ -22,7 +22,7 @@
 ExitCode
 RunCommand(ObjectClient& aClient, const Arguments& aArguments);
 
-// What the system reports: the configuration in force, and the servers of one
+// Prints the configuration in force on the fleet, and the servers of one
 // service or of all.
 ExitCode
 RunStatus(ObjectClient& aClient, const Arguments& aArguments);
--- a/apps/porttillerctl/Output.cpp
+++ b/apps/porttillerctl/Output.cpp
@@ -15,7 +15,8 @@
 constexpr unsigned kIndent = 2;
 constexpr int kColumnGap = 2;
 
-// The spec; of a workspace's keys only their number, as they are secrets.
+// The spec, with the API keys of a workspace replaced by their number, as they
+// are secrets.
 Poco::JSON::Object::Ptr
 ShownSpec(const Object& aObject)
 {
@@ -123,7 +124,7 @@
     case StoreErrorKind::kUnavailable:
       return ExitCode::kUnavailable;
     case StoreErrorKind::kAmbiguous:
-      return ExitCode::kUnclear;
+      return ExitCode::kOutcomeUnknown;
     case StoreErrorKind::kNotFound:
       return ExitCode::kNotFound;
     case StoreErrorKind::kConflict:
--- a/apps/porttillerctl/Output.h
+++ b/apps/porttillerctl/Output.h
@@ -1,4 +1,4 @@
-// What porttillerctl prints: tables for people, JSON for programs.
+// Output of porttillerctl, as tables or JSON, and its exit codes.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
@@ -9,17 +9,17 @@
 
 namespace porttiller::ctl {
 
-// Distinct for each kind of failure, so that scripts can tell them apart.
+// Scripts distinguish failures by these.
 enum class ExitCode
 {
   kOk = 0,
   kFailed = 1,
   kUsage = 2,
-  kUnavailable = 3, // the platform is away
-  kInvalid = 4,     // the object does not pass its checks
-  kConflict = 5,    // another writer came first, or the version is stale
+  kUnavailable = 3, // the platform or the daemon cannot be reached
+  kInvalid = 4,     // the object fails validation
+  kConflict = 5,    // the stored version is not the expected one
   kNotFound = 6,
-  kUnclear = 7 // a write was sent and its outcome could not be read back
+  kOutcomeUnknown = 7 // a write was sent and may or may not have been done
 };
 
 enum class Format
@@ -30,7 +30,7 @@
 
 using Row = std::vector<std::string>;
 
-// Columns as wide as their widest cell; the first row is the heading.
+// The first row is the heading.
 void
 PrintTable(const std::vector<Row>& aRows);
 
@@ -40,7 +40,7 @@
 void
 PrintObjects(const std::vector<Object>& aObjects, Format aFormat);
 
-// Says on stderr what is wrong, and returns its exit code.
+// Prints the error to stderr and returns its exit code.
 ExitCode
 ReportError(const std::string& aWhat, const StoreError& aError);
 
--- a/apps/porttillerctl/StatusCommand.cpp
+++ b/apps/porttillerctl/StatusCommand.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-// What the platform holds about the services, read in one go.
+// What the platform stores about the services.
 struct Report
 {
   SnapshotPtr mSnapshot;
-  std::vector<UnreadableObject> mUnreadable; // among the boxes' records
+  std::vector<UnreadableObject> mUnreadable; // of the box records
   std::map<ServiceName, EjectionLedger> mLedgers;
-  Poco::JSON::Object::Ptr mFleet; // null when none was written yet
+  Poco::JSON::Object::Ptr mFleet; // fleet status; null if none is stored
 };
 
 bool
@@ -37,8 +37,9 @@
     });
 }
 
+// Whether the list aField of the fleet status contains the box.
 bool
-Lists(const Report& aReport, const char* aField, const BoxName& aBox)
+IsListed(const Report& aReport, const char* aField, const BoxName& aBox)
 {
   const auto boxes =
     aReport.mFleet ? aReport.mFleet->getArray(aField) : nullptr;
@@ -50,7 +51,7 @@
   });
 }
 
-// The server's state and, in brackets, why.
+// The server's state, with the reason in parentheses.
 std::string
 StateOf(const Report& aReport, const BackendServerSpec& aServer)
 {
@@ -67,7 +68,7 @@
   if (IsEjected(aReport, aServer)) {
     return "ejected (its home found it failing)";
   }
-  if (Lists(aReport, "boxes_silent", aServer.mBox)) {
+  if (IsListed(aReport, "boxes_silent", aServer.mBox)) {
     return "unreachable (its box does not answer)";
   }
   return "working";
--- a/apps/porttillerctl/main.cpp
+++ b/apps/porttillerctl/main.cpp
@@ -1,5 +1,5 @@
-// The operators' command line. It talks to the platform's object API alone;
-// only `dump` asks a daemon.
+// Command-line tool for operators. Uses the platform's object API; only `dump`
+// connects to a daemon.
 #include "Commands.h"
 
 #include <cxxopts.hpp>
