--- a/cmake/PorttillerTargets.cmake
+++ b/cmake/PorttillerTargets.cmake
@@ -1,4 +1,5 @@
-# Targets of the workspace: one library and one test program for each package.
+# Functions that define the targets: one library and one test program for each
+# package.
 
 set(PORTTILLER_WARNINGS -Wall -Wextra -Wpedantic -Wshadow -Werror
     -Wno-missing-field-initializers)
@@ -31,8 +32,8 @@
   target_link_libraries(${target} PRIVATE ${ARG_DEPENDS} ${RAPIDCHECK_LIB}
                                           Threads::Threads)
   add_test(NAME ${ARG_NAME} COMMAND ${target})
-  # Fuzzing takes the same steps in every run; for long ones start the program
-  # itself with RC_PARAMS="seed=... max_success=...".
+  # A fixed seed makes property-based tests repeatable. For other seeds or longer
+  # runs start the program with RC_PARAMS="seed=... max_success=...".
   set_tests_properties(${ARG_NAME} PROPERTIES ENVIRONMENT
                        "RC_PARAMS=seed=20261202 max_success=300" TIMEOUT 300)
 endfunction()
