--- a/apps/porttillerctl/Commands.cpp
+++ b/apps/porttillerctl/Commands.cpp
@@ -3,7 +3,7 @@
 #include "porttiller/config/JsonText.h"
 #include "porttiller/config/Resources.h"
 #include "porttiller/http/HttpPool.h"
-#include "porttiller/store/SettledWrite.h"
+#include "porttiller/store/WriteWithReadBack.h"
 
 #include <Poco/Exception.h>
 #include <Poco/JSON/Array.h>
@@ -120,7 +120,7 @@
   document.mVersion = static_cast<std::uint64_t>(
     reader.IntegerOr("version", { 0, INT64_MAX }, 0));
   static_cast<void>(reader.Child("spec"));
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (errors.empty() && !aJson->has("spec")) {
     reader.Fail("spec", "is required");
   }
@@ -186,7 +186,7 @@
     version = current ? current->mVersion : 0;
   }
   const auto written =
-    WriteSettled(aClient, aDocument.mKey, version, aDocument.mSpec);
+    WriteWithReadBack(aClient, aDocument.mKey, version, aDocument.mSpec);
   const auto name = aDocument.mKey.mKind + " " + aDocument.mKey.mName;
   if (!written) {
     return ReportError(name, written.error());
--- a/bench/FaultsBench.cpp
+++ b/bench/FaultsBench.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kDefaultSeeds = 200;
 constexpr int kThreads = 6;
-// Detector thresholds of the trade-off between the detection time of gray
+// CusumDetector thresholds of the trade-off between the detection time of gray
 // errors and false ejections after noise bursts.
 constexpr double kThresholds[] = { 6.0, 12.0, 24.0, 48.0 };
 constexpr const char* kPolicies[] = { "porttiller",
--- a/bench/sim/LimitFleet.cpp
+++ b/bench/sim/LimitFleet.cpp
@@ -188,8 +188,8 @@
   if (box.mIncarnation != aIncarnation || box.mDown) {
     return;
   }
-  box.mReportsNow = !box.mReportsNow;
-  if (box.mReportsNow) {
+  box.mReportThisTick = !box.mReportThisTick;
+  if (box.mReportThisTick) {
     Report(aBox);
   }
   Collect(aBox);
@@ -213,7 +213,7 @@
   if (to == aBox) {
     box.mCollector->OnEntryUse(report->mUses);
     box.mGate->OnGrants(box.mGrants, box.mCollector->Warming(mNow), mNow);
-    box.mReporter->OnReply(report->mQuestion, true, mNow);
+    box.mReporter->OnReply(report->mReplyToken, true, mNow);
     return;
   }
   const auto replied = std::make_shared<bool>(false);
@@ -223,7 +223,7 @@
        [this, aBox, to, &box, &collector, report = *report, replied] {
          collector.mReporters[aBox] = mNow;
          collector.mCollector->OnEntryUse(report.mUses);
-         if (report.mQuestion == 0) {
+         if (report.mReplyToken == 0) {
            return;
          }
          Send(to,
@@ -233,19 +233,19 @@
                &box,
                grants = collector.mGrants,
                warming = collector.mCollector->Warming(mNow),
-               question = report.mQuestion,
+               question = report.mReplyToken,
                replied] {
                 *replied = true;
                 box.mGate->OnGrants(grants, warming, mNow);
                 box.mReporter->OnReply(question, true, mNow);
               });
        });
-  if (report->mQuestion != 0) {
+  if (report->mReplyToken != 0) {
     At(mNow + kReplyTimeout,
        [this,
         &box,
         incarnation = box.mIncarnation,
-        question = report->mQuestion,
+        question = report->mReplyToken,
         replied] {
          if (!*replied && box.mIncarnation == incarnation) {
            box.mReporter->OnReply(question, false, mNow);
@@ -376,7 +376,7 @@
     allowed =
       std::max(allowed,
                each.mRatePerSecond * SecondsOf(Micros(kBounds.mWindow)) +
-                 each.mBurst + SpareOf(each, kBounds));
+                 each.mBurst + ToleranceOf(each, kBounds));
   }
   outcome.mWorstWindow = std::max(outcome.mWorstWindow,
                                   static_cast<double>(window.size()) / allowed);
--- a/bench/sim/LimitFleet.h
+++ b/bench/sim/LimitFleet.h
@@ -96,7 +96,7 @@
     bool mCut = false;
     bool mInboundCut = false;
     bool mDown = false;
-    bool mReportsNow = false; // reports on every second tick
+    bool mReportThisTick = false; // reports on every second tick
     int mIncarnation = 0;
     std::uint64_t mMessages = 0;
   };
--- a/bench/sim/Policies.cpp
+++ b/bench/sim/Policies.cpp
@@ -84,17 +84,17 @@
   }
 }
 
-Standing
-PorttillerPolicy::StandingAt(int aEntry, int aServer, TimePoint aNow) const
+Eligibility
+PorttillerPolicy::EligibilityAt(int aEntry, int aServer, TimePoint aNow) const
 {
   const auto index = PairIndex(aEntry, aServer, mDeployment.mServers);
   if (aNow < mClosedUntil[index]) {
-    return Standing::kClosed;
+    return Eligibility::kClosed;
   }
-  return aNow < mAvoidUntil[index] ? Standing::kAvoid : Standing::kOpen;
+  return aNow < mAvoidUntil[index] ? Eligibility::kAvoid : Eligibility::kOpen;
 }
 
-GateVerdict
+AdmissionVerdict
 PorttillerPolicy::Gate(const Attempt& aAttempt, TimePoint aNow)
 {
   return mMachines[static_cast<std::size_t>(aAttempt.mServer)].Gate(
@@ -102,7 +102,7 @@
 }
 
 void
-PorttillerPolicy::OnRefused(const Attempt& aAttempt, TimePoint aNow)
+PorttillerPolicy::OnRejected(const Attempt& aAttempt, TimePoint aNow)
 {
   const auto& machine = mMachines[static_cast<std::size_t>(aAttempt.mServer)];
   const auto index =
@@ -233,9 +233,9 @@
 }
 
 bool
-PorttillerPolicy::SetAside(int aServer) const
+PorttillerPolicy::OutOfRotation(int aServer) const
 {
-  return mMachines[static_cast<std::size_t>(aServer)].SetAside();
+  return mMachines[static_cast<std::size_t>(aServer)].OutOfRotation();
 }
 
 int
@@ -252,11 +252,11 @@
 {
 }
 
-Standing
-ConsecutiveFailures::StandingAt(int, int aServer, TimePoint aNow) const
+Eligibility
+ConsecutiveFailures::EligibilityAt(int, int aServer, TimePoint aNow) const
 {
-  return aNow < mUntil[static_cast<std::size_t>(aServer)] ? Standing::kClosed
-                                                          : Standing::kOpen;
+  return aNow < mUntil[static_cast<std::size_t>(aServer)] ? Eligibility::kClosed
+                                                          : Eligibility::kOpen;
 }
 
 void
@@ -287,7 +287,7 @@
 }
 
 bool
-ConsecutiveFailures::SetAside(int aServer) const
+ConsecutiveFailures::OutOfRotation(int aServer) const
 {
   return mUntil[static_cast<std::size_t>(aServer)] > mNow;
 }
@@ -297,15 +297,16 @@
   , mEntries(aDeployment.Entries())
 {
   const auto pairs = PairIndex(mEntries, 0, mServers);
-  mDetectors.assign(pairs, Detector(OptionsFor(aDeployment).mDetector));
+  mDetectors.assign(pairs, CusumDetector(OptionsFor(aDeployment).mDetector));
   mUntil.resize(pairs);
 }
 
-Standing
-EntrySide::StandingAt(int aEntry, int aServer, TimePoint aNow) const
+Eligibility
+EntrySide::EligibilityAt(int aEntry, int aServer, TimePoint aNow) const
 {
-  return aNow < mUntil[PairIndex(aEntry, aServer, mServers)] ? Standing::kClosed
-                                                             : Standing::kOpen;
+  return aNow < mUntil[PairIndex(aEntry, aServer, mServers)]
+           ? Eligibility::kClosed
+           : Eligibility::kOpen;
 }
 
 void
@@ -338,7 +339,7 @@
 }
 
 bool
-EntrySide::SetAside(int aServer) const
+EntrySide::OutOfRotation(int aServer) const
 {
   for (int entry = 0; entry < mEntries; ++entry) {
     if (mUntil[PairIndex(entry, aServer, mServers)] <= mNow) {
--- a/bench/sim/Policies.h
+++ b/bench/sim/Policies.h
@@ -29,16 +29,16 @@
 public:
   PorttillerPolicy(const Deployment& aDeployment, bool aPlatformUnavailable);
 
-  Standing StandingAt(int aEntry, int aServer, TimePoint aNow) const;
-  GateVerdict Gate(const Attempt& aAttempt, TimePoint aNow);
-  void OnRefused(const Attempt& aAttempt, TimePoint aNow);
+  Eligibility EligibilityAt(int aEntry, int aServer, TimePoint aNow) const;
+  AdmissionVerdict Gate(const Attempt& aAttempt, TimePoint aNow);
+  void OnRejected(const Attempt& aAttempt, TimePoint aNow);
   void OnEvidence(const Attempt& aAttempt,
                   const Evidence& aEvidence,
                   TimePoint aNow);
   void OnPathFailure(const Attempt& aAttempt, TimePoint aNow);
   void OnTick(TimePoint aNow, std::mt19937_64& aRandom);
   void OnServerRestart(int aServer, TimePoint aNow);
-  bool SetAside(int aServer) const;
+  bool OutOfRotation(int aServer) const;
   int SlotLimit(int aServer, TimePoint aNow) const;
   void SetThreshold(double aThreshold);
 
@@ -78,13 +78,13 @@
 public:
   explicit ConsecutiveFailures(const Deployment& aDeployment);
 
-  Standing StandingAt(int aEntry, int aServer, TimePoint aNow) const;
+  Eligibility EligibilityAt(int aEntry, int aServer, TimePoint aNow) const;
   void OnEvidence(const Attempt& aAttempt,
                   const Evidence& aEvidence,
                   TimePoint aNow);
   void OnPathFailure(const Attempt& aAttempt, TimePoint aNow);
   void OnTick(TimePoint aNow, std::mt19937_64& aRandom);
-  bool SetAside(int aServer) const;
+  bool OutOfRotation(int aServer) const;
 
 private:
   std::vector<int> mFailures;
@@ -100,21 +100,21 @@
 public:
   explicit EntrySide(const Deployment& aDeployment);
 
-  Standing StandingAt(int aEntry, int aServer, TimePoint aNow) const;
+  Eligibility EligibilityAt(int aEntry, int aServer, TimePoint aNow) const;
   void OnEvidence(const Attempt& aAttempt,
                   const Evidence& aEvidence,
                   TimePoint aNow);
   void OnPathFailure(const Attempt& aAttempt, TimePoint aNow);
   void OnTick(TimePoint aNow, std::mt19937_64& aRandom);
   // Removed from use by every entry.
-  bool SetAside(int aServer) const;
+  bool OutOfRotation(int aServer) const;
   // Removed from use by at least one entry.
   bool RemovedFromUseAnywhere(int aServer) const;
 
 private:
   const int mServers;
   const int mEntries;
-  std::vector<Detector> mDetectors;
+  std::vector<CusumDetector> mDetectors;
   std::vector<TimePoint> mUntil;
   TimePoint mNow;
 };
--- a/bench/sim/Simulation.cpp
+++ b/bench/sim/Simulation.cpp
@@ -159,17 +159,17 @@
     const auto index = static_cast<std::size_t>(server);
     Candidate candidate{ .mSameZone = server == aRequest.mEntry };
     candidate.mReportedLoad = mReportedLoad[index];
-    candidate.mStanding = std::visit(
+    candidate.mEligibility = std::visit(
       [&](const auto& aPolicy) {
-        if constexpr (requires { aPolicy.StandingAt(0, 0, mNow); }) {
-          return aPolicy.StandingAt(aRequest.mEntry, server, mNow);
+        if constexpr (requires { aPolicy.EligibilityAt(0, 0, mNow); }) {
+          return aPolicy.EligibilityAt(aRequest.mEntry, server, mNow);
         } else {
-          return Standing::kOpen;
+          return Eligibility::kOpen;
         }
       },
       mPolicy);
     if (aRequest.mTried[index]) {
-      candidate.mStanding = Standing::kTried;
+      candidate.mEligibility = Eligibility::kTried;
     }
     candidates.push_back(candidate);
   }
@@ -247,10 +247,10 @@
   };
   if (auto* own = std::get_if<PorttillerPolicy>(&mPolicy)) {
     const auto verdict = own->Gate(attempt, mNow);
-    if (verdict != GateVerdict::kAdmit) {
-      own->OnRefused(attempt, mNow);
+    if (verdict != AdmissionVerdict::kAdmit) {
+      own->OnRejected(attempt, mNow);
       request.mDemoted[static_cast<std::size_t>(aServer)] =
-        verdict == GateVerdict::kDemoted;
+        verdict == AdmissionVerdict::kDemoted;
       Dispatch(aId);
       return;
     }
@@ -371,8 +371,8 @@
     bool anywhere = false;
     std::visit(
       [&](const auto& aPolicy) {
-        if constexpr (requires { aPolicy.SetAside(server); }) {
-          removed = aPolicy.SetAside(server);
+        if constexpr (requires { aPolicy.OutOfRotation(server); }) {
+          removed = aPolicy.OutOfRotation(server);
           anywhere = removed;
         }
         if constexpr (requires { aPolicy.RemovedFromUseAnywhere(server); }) {
--- a/packages/config/include/porttiller/config/EdgeHeaders.h
+++ b/packages/config/include/porttiller/config/EdgeHeaders.h
@@ -23,7 +23,7 @@
   std::string mSignature; // present in each response that the server completed
   std::string mLoad;      // value "running,waiting,slots"
   // Whether responses to callers have headers with the outcome of the request.
-  bool mTellOutcome = false;
+  bool mReportOutcome = false;
 
   friend auto operator<=>(const EdgeHeaders&, const EdgeHeaders&) = default;
 };
--- a/packages/config/include/porttiller/config/FieldReader.h
+++ b/packages/config/include/porttiller/config/FieldReader.h
@@ -70,7 +70,7 @@
   bool Has(const std::string& aName) const;
 
   // Adds an error for each key that was not read before; call it last.
-  void RefuseUnknown();
+  void RejectUnknownKeys();
   void Fail(const std::string& aName, const std::string& aProblem);
 
 private:
--- a/packages/config/include/porttiller/config/JsonText.h
+++ b/packages/config/include/porttiller/config/JsonText.h
@@ -17,14 +17,14 @@
 // Replaces each number that does not fit a 64-bit type with null, so that the
 // rest of the text can be parsed.
 std::string
-WithoutUnfitNumbers(std::string aText);
+ReplaceOutOfRangeNumbers(std::string aText);
 
 // Prints the object on one line.
 std::string
 ToJsonText(const Poco::JSON::Object& aObject);
 
 // Parses aText and passes the object to aReader. A Poco::Exception from the
-// reader becomes a DialectError.
+// reader becomes a DecodeError.
 template<typename Reader>
 auto
 DecodeJson(const std::string& aText, Reader aReader)
@@ -35,9 +35,9 @@
       return aReader(**json);
     }
   } catch (const Poco::Exception& e) {
-    return tl::make_unexpected(DialectError{ e.displayText() });
+    return tl::make_unexpected(DecodeError{ e.displayText() });
   }
-  return tl::make_unexpected(DialectError{ "not a JSON object" });
+  return tl::make_unexpected(DecodeError{ "not a JSON object" });
 }
 
 } // namespace porttiller
--- a/packages/config/include/porttiller/config/Registrar.h
+++ b/packages/config/include/porttiller/config/Registrar.h
@@ -15,7 +15,7 @@
 {
   ServerRecord mServer; // a leave message uses only incarnation and state
   // Remaining time in which the server is slow after its start.
-  Millis mColdFor{ 0 };
+  Millis mColdRemaining{ 0 };
 };
 
 // The effect of a message.
--- a/packages/config/include/porttiller/config/Settings.h
+++ b/packages/config/include/porttiller/config/Settings.h
@@ -103,7 +103,7 @@
   Millis mDrainNotice{ 300 };
   // A configuration change must be in force on all boxes within this time after
   // the platform has acknowledged it.
-  Millis mApply{ 4000 };
+  Millis mApplyLimit{ 4000 };
   Millis mProbeInterval{ 1000 };
   Millis mProbeTimeout{ 300 };
   // Time until the home is asked for the state of an attempt.
--- a/packages/config/include/porttiller/config/StoreCursor.h
+++ b/packages/config/include/porttiller/config/StoreCursor.h
@@ -22,7 +22,7 @@
 
   // Returns the result of a watch with its start moved back to aHeld, the set's
   // revision at the start of the watch, so that it applies to that set.
-  static ObjectDelta FollowingOn(std::uint64_t aHeld, ObjectDelta aDelta);
+  static ObjectDelta RebasedOn(std::uint64_t aHeld, ObjectDelta aDelta);
 
   // Records that aDelta was read. aResult is the error of applying it, or
   // success if it was applied or has no objects for the set.
--- a/packages/config/include/porttiller/config/StoreMessages.h
+++ b/packages/config/include/porttiller/config/StoreMessages.h
@@ -27,12 +27,12 @@
 };
 
 // Describes why a message could not be decoded.
-struct DialectError
+struct DecodeError
 {
   std::string mDetail;
 };
 
 template<typename T>
-using Decoded = tl::expected<T, DialectError>;
+using Decoded = tl::expected<T, DecodeError>;
 
 } // namespace porttiller
--- a/packages/config/src/FieldReader.cpp
+++ b/packages/config/src/FieldReader.cpp
@@ -284,7 +284,7 @@
 }
 
 void
-FieldReader::RefuseUnknown()
+FieldReader::RejectUnknownKeys()
 {
   for (const auto& [name, value] : *mObject) {
     if (!mKnown.contains(name)) {
--- a/packages/config/src/JsonText.cpp
+++ b/packages/config/src/JsonText.cpp
@@ -82,7 +82,7 @@
 } // namespace
 
 std::string
-WithoutUnfitNumbers(std::string aText)
+ReplaceOutOfRangeNumbers(std::string aText)
 {
   constexpr std::string_view kNull = "null";
   std::size_t from = 0;
--- a/packages/config/src/Resources.cpp
+++ b/packages/config/src/Resources.cpp
@@ -76,7 +76,7 @@
   for (auto& part : aReader.Children("split")) {
     RouteTarget target{ .mService = ServiceName(part.String("service")) };
     target.mWeight = static_cast<int>(part.Integer("weight", kWeight));
-    part.RefuseUnknown();
+    part.RejectUnknownKeys();
     targets.push_back(target);
   }
   if (targets.empty()) {
@@ -248,7 +248,7 @@
     reader.Fail("(name)", "must not be empty");
   }
   auto resource = parse(aName, reader);
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (!errors.empty()) {
     return tl::make_unexpected(std::move(errors));
   }
--- a/packages/config/src/Settings.cpp
+++ b/packages/config/src/Settings.cpp
@@ -92,7 +92,7 @@
     aReader.NumberOr("memory_mb", 0.0, kMaxPlatformNumber, 0.0);
   settings.mDescriptors =
     aReader.NumberOr("descriptors", 0.0, kMaxPlatformNumber, 0.0);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -112,7 +112,7 @@
     ReadInt(aReader, "max_headers", kHeaders, settings.mMaxHeaders);
   settings.mMaxHeaderBytes = ReadInt(
     aReader, "max_header_bytes", kHeaderBytes, settings.mMaxHeaderBytes);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -137,7 +137,7 @@
     aReader, "connect_timeout_ms", kIntervalMs, settings.mConnectTimeout);
   settings.mUserTimeout =
     ReadMillis(aReader, "user_timeout_ms", kIntervalMs, settings.mUserTimeout);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -158,7 +158,7 @@
   const double apply =
     aReader.NumberOr("apply_ms", 0.0, kMaxPlatformNumber, 0.0);
   if (apply > 0.0) {
-    settings.mApply = Millis(ClampTo(apply, kApplyMs));
+    settings.mApplyLimit = Millis(ClampTo(apply, kApplyMs));
   }
   settings.mProbeInterval = ReadMillis(
     aReader, "probe_interval_ms", kIntervalMs, settings.mProbeInterval);
@@ -168,7 +168,7 @@
     aReader, "attempt_patience_ms", kIntervalMs, settings.mAttemptPatience);
   settings.mRevokeTimeout = ReadMillis(
     aReader, "revoke_timeout_ms", kIntervalMs, settings.mRevokeTimeout);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -178,7 +178,7 @@
   RegistrationSettings settings;
   settings.mAddress = aReader.AddressOr("address", settings.mAddress);
   settings.mFirstStart = aReader.OptionalBool("first_start").value_or(false);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -188,7 +188,7 @@
   ReadinessSettings settings;
   settings.mAddress = aReader.AddressOr("address", settings.mAddress);
   settings.mPath = aReader.StringOr("path", settings.mPath);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -209,7 +209,7 @@
     aReader.NumberOr("over", 0.0, kMaxPlatformNumber, settings.mOver);
   settings.mSlack =
     aReader.NumberOr("slack", 0.0, kMaxPlatformNumber, settings.mSlack);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -222,7 +222,7 @@
   settings.mBurst =
     aReader.NumberOr("burst", 0.0, kMaxPlatformNumber, settings.mBurst);
   settings.mWindow = ReadWindow(aReader, settings.mWindow);
-  aReader.RefuseUnknown();
+  aReader.RejectUnknownKeys();
   return settings;
 }
 
@@ -305,7 +305,7 @@
   settings.mRetries = ReadRetries(reader.Child("retries"));
   settings.mWorkspaceLimits =
     ReadWorkspaceLimits(reader.Child("workspace_limits"));
-  reader.RefuseUnknown();
+  reader.RejectUnknownKeys();
   if (!errors.empty()) {
     return tl::make_unexpected(std::move(errors));
   }
@@ -340,7 +340,7 @@
   Poco::JSON::Object timing;
   timing.set("drain_ms", times.mDrain.count());
   timing.set("drain_notice_ms", times.mDrainNotice.count());
-  timing.set("apply_ms", times.mApply.count());
+  timing.set("apply_ms", times.mApplyLimit.count());
   timing.set("probe_interval_ms", times.mProbeInterval.count());
   timing.set("probe_timeout_ms", times.mProbeTimeout.count());
   timing.set("attempt_patience_ms", times.mAttemptPatience.count());
--- a/packages/config/src/StoreCursor.cpp
+++ b/packages/config/src/StoreCursor.cpp
@@ -14,7 +14,7 @@
 }
 
 ObjectDelta
-StoreCursor::FollowingOn(std::uint64_t aHeld, ObjectDelta aDelta)
+StoreCursor::RebasedOn(std::uint64_t aHeld, ObjectDelta aDelta)
 {
   aDelta.mFrom = std::min(aDelta.mFrom, aHeld);
   return aDelta;
--- a/packages/config/tests/FieldReaderTest.cpp
+++ b/packages/config/tests/FieldReaderTest.cpp
@@ -51,13 +51,13 @@
     CAPTURE(wrong);
     const auto text = std::string(R"({"a":)") + wrong + R"(,"b":"9e9999"})";
     CHECK_FALSE(ParseJsonObject(text));
-    CHECK(WithoutUnfitNumbers(text) == R"({"a":null,"b":"9e9999"})");
+    CHECK(ReplaceOutOfRangeNumbers(text) == R"({"a":null,"b":"9e9999"})");
   }
   const std::string fits =
     R"({"a":18446744073709551615,"b":-9223372036854775808,)"
     R"("c":0.333333333333333333333333,"d":1e9,"e":"\\\"1e999"})";
   CHECK(ParseJsonObject(fits));
-  CHECK(WithoutUnfitNumbers(fits) == fits);
+  CHECK(ReplaceOutOfRangeNumbers(fits) == fits);
 }
 
 TEST_CASE("Deep nesting is an error, not a stack overflow")
--- a/packages/config/tests/SettingsTest.cpp
+++ b/packages/config/tests/SettingsTest.cpp
@@ -108,6 +108,6 @@
         "timing": { "apply_ms": )" + number +
                                         " } }");
     REQUIRE(settings.has_value());
-    CHECK(settings->mTiming.mApply == time);
+    CHECK(settings->mTiming.mApplyLimit == time);
   }
 }
--- a/packages/config/tests/StoreCursorTest.cpp
+++ b/packages/config/tests/StoreCursorTest.cpp
@@ -45,7 +45,7 @@
      std::uint64_t aHeld,
      ObjectDelta aAnswer)
 {
-  const auto delta = StoreCursor::FollowingOn(aHeld, std::move(aAnswer));
+  const auto delta = StoreCursor::RebasedOn(aHeld, std::move(aAnswer));
   tl::expected<void, ApplyError> result;
   if (!delta.mObjects.empty() || delta.mFull) {
     if (const auto applied = aSet.Apply(delta); !applied) {
--- a/packages/control/include/porttiller/control/ConfigController.h
+++ b/packages/control/include/porttiller/control/ConfigController.h
@@ -11,7 +11,7 @@
 #include "porttiller/control/Worker.h"
 #include "porttiller/peer/PeerTransport.h"
 #include "porttiller/policy/CatchUp.h"
-#include "porttiller/policy/WatchTurns.h"
+#include "porttiller/policy/WatchSchedule.h"
 #include "porttiller/store/ObjectClient.h"
 #include "porttiller/telemetry/Metrics.h"
 
@@ -32,7 +32,7 @@
 struct ConfigPeers
 {
   std::function<std::vector<BoxName>()> mLiveBoxes;
-  std::function<std::vector<BoxSpec>(const SpreadOptions&)> mSpreadPeers;
+  std::function<std::vector<BoxSpec>(const GossipFanout&)> mSpreadPeers;
 };
 
 // The origin of a delta, for the log.
@@ -110,11 +110,11 @@
                       const wire::Envelope& aAnswer);
   // Requests deltas from peers that are known to be ahead.
   void RequestDeltas();
-  void Announce(std::uint64_t aRevision, const SpreadOptions& aSpread);
+  void Announce(std::uint64_t aRevision, const GossipFanout& aSpread);
   void SetPlatformReachable(bool aReachable, const std::string& aDetail);
-  void LogRefused(const ObjectDelta& aDelta,
-                  ApplyError aError,
-                  const ConfigSource& aSource);
+  void LogRejected(const ObjectDelta& aDelta,
+                   ApplyError aError,
+                   const ConfigSource& aSource);
   void LogInForce(const Snapshot& aSnapshot,
                   std::size_t aChanges,
                   const ConfigSource& aSource) const;
@@ -133,7 +133,7 @@
   std::vector<BoxRecord> mDirectory; // under mMutex
   SnapshotPtr mCurrent;              // under mMutex
   StoreCursor mCursor;               // of mThread
-  WatchTurns mWatchTurns;            // of mThread
+  WatchSchedule mWatchSchedule;      // of mThread
   // The revision of mCursor, for other threads.
   std::atomic<std::uint64_t> mReadRevision{ 0 };
   std::atomic<TimePoint> mLastStoreReplyAt{ TimePoint{} };
--- a/packages/control/include/porttiller/control/DirectoryController.h
+++ b/packages/control/include/porttiller/control/DirectoryController.h
@@ -32,11 +32,11 @@
   // message is acknowledged.
   std::function<void(const ServerIncarnation&)> mOnServerLeaving;
   std::function<std::vector<BoxSpec>(std::size_t)> mRandomPeers;
-  std::function<std::vector<BoxSpec>(const SpreadOptions&)> mSpreadPeers;
+  std::function<std::vector<BoxSpec>(const GossipFanout&)> mSpreadPeers;
   // Reports objects that were skipped as unreadable.
   UnreadableListener mOnUnreadable = [](const auto&) {};
   // Whether this box is the one of its zone that lists the store periodically.
-  std::function<bool()> mReadsList = [] { return false; };
+  std::function<bool()> mShouldListRecords = [] { return false; };
 };
 
 // Why a server's message is not acknowledged.
@@ -98,7 +98,7 @@
   void ScheduleBatch();
   void PublishBatch();
   void Push(const std::vector<BoxRecord>& aRecords,
-            const SpreadOptions& aSpread);
+            const GossipFanout& aSpread);
   void Request(const std::string& aAddress);
   bool StoreAtPeers(const BoxRecord& aRecord);
   bool StoreDurably(const BoxRecord& aRecord);
--- a/packages/control/include/porttiller/control/LimitController.h
+++ b/packages/control/include/porttiller/control/LimitController.h
@@ -74,10 +74,10 @@
   std::map<BoxName, TimePoint> mReporters; // last report; under mMutex
   SnapshotPtr mSnapshot;                   // under mMutex
   Collectors mCollectors;                  // of the ticker's thread
-  WorkspaceGrants mTold;                   // of the ticker's thread
+  WorkspaceGrants mSentGrants;             // of the ticker's thread
   TimePoint mNextFindCollectors;           // of the ticker's thread
   TimePoint mNextGrantSend;                // of the ticker's thread
-  bool mReportsNow = false;                // of the ticker's thread
+  bool mReportThisTick = false;            // of the ticker's thread
   std::unique_ptr<Ticker> mTicker;         // null until a limit is known
 };
 
--- a/packages/control/include/porttiller/control/MembershipController.h
+++ b/packages/control/include/porttiller/control/MembershipController.h
@@ -6,8 +6,8 @@
 #include "porttiller/control/Worker.h"
 #include "porttiller/entry/EntryView.h"
 #include "porttiller/peer/PeerTransport.h"
+#include "porttiller/policy/GossipFanout.h"
 #include "porttiller/policy/Membership.h"
-#include "porttiller/policy/Spread.h"
 
 #include <functional>
 #include <memory>
@@ -62,7 +62,7 @@
   std::vector<BoxSpec> RandomPeers(std::size_t aCount) const;
   // Random live boxes other than this one, as many of each zone as aOptions
   // says.
-  std::vector<BoxSpec> SpreadPeers(const SpreadOptions& aOptions) const;
+  std::vector<BoxSpec> SpreadPeers(const GossipFanout& aOptions) const;
   std::string Dump() const;
 
 private:
--- a/packages/control/include/porttiller/control/NewsController.h
+++ b/packages/control/include/porttiller/control/ServerUpdateController.h
@@ -15,20 +15,20 @@
 namespace porttiller {
 
 // Owned by the node. Thread-safe.
-class NewsController
+class ServerUpdateController
 {
 public:
-  NewsController(const Settings& aSettings,
-                 Home& aHome,
-                 EntryView& aView,
-                 PeerTransport& aTransport,
-                 std::function<SnapshotPtr()> aSnapshot);
+  ServerUpdateController(const Settings& aSettings,
+                         Home& aHome,
+                         EntryView& aView,
+                         PeerTransport& aTransport,
+                         std::function<SnapshotPtr()> aSnapshot);
 
   void Start();
   void Stop();
 
   // From another home.
-  void OnNews(const wire::ServerNews& aMessage);
+  void OnServerUpdate(const wire::ServerNews& aMessage);
 
 private:
   void Tick();
--- a/packages/control/src/ConfigController.cpp
+++ b/packages/control/src/ConfigController.cpp
@@ -38,8 +38,8 @@
 // A box that read a change from the platform or a seed announces it in its
 // zone, and to one box of each other zone in case the watchers there cannot
 // read the platform. A box that got it from a peer announces it in its zone.
-constexpr SpreadOptions kSourceSpread{ .mOwnZone = 4, .mPerOtherZone = 1 };
-constexpr SpreadOptions kForwardSpread{ .mOwnZone = 4 };
+constexpr GossipFanout kSourceSpread{ .mOwnZone = 4, .mPerOtherZone = 1 };
+constexpr GossipFanout kForwardSpread{ .mOwnZone = 4 };
 constexpr Millis::rep kNoReplyYetMs = -1; // in log lines
 
 Millis
@@ -61,7 +61,8 @@
   , mMetrics(aMetrics)
   , mPeers(std::move(aPeers))
   , mOnUnreadable(std::move(aOnUnreadable))
-  , mWatchTurns({ .mStep = aSettings.mTiming.mApply / kWatchStepDivisor })
+  , mWatchSchedule(
+      { .mStep = aSettings.mTiming.mApplyLimit / kWatchStepDivisor })
   , mClient(StoreClientOptions(aSettings, "configuration", kCallTimeout))
 {
 }
@@ -134,7 +135,7 @@
     }
   }
   if (!changed) {
-    LogRefused(aDelta, changed.error(), aSource);
+    LogRejected(aDelta, changed.error(), aSource);
     return tl::make_unexpected(changed.error());
   }
   NotifyListeners(snapshot);
@@ -166,9 +167,9 @@
 // Stale deltas are normal, as several peers may send the same one; only a gap
 // is logged.
 void
-ConfigController::LogRefused(const ObjectDelta& aDelta,
-                             ApplyError aError,
-                             const ConfigSource& aSource)
+ConfigController::LogRejected(const ObjectDelta& aDelta,
+                              ApplyError aError,
+                              const ConfigSource& aSource)
 {
   mMetrics.CountRefusedDelta(aError);
   if (aError == ApplyError::kStale) {
@@ -316,7 +317,7 @@
   const auto own = Own().mRevision;
   const auto from = mCursor.From(own);
   const auto place = Place();
-  const auto wait = place ? mWatchTurns.NextWait(*place) : Millis(0);
+  const auto wait = place ? mWatchSchedule.NextWait(*place) : Millis(0);
   mMetrics.PlatformCalls().Increment();
   auto delta = from ? mClient.WatchConfiguration(*from, wait)
                     : mClient.ListConfiguration();
@@ -335,7 +336,7 @@
     Sleep(Jittered(kRetryWait));
     return;
   }
-  ApplyStoreDelta(StoreCursor::FollowingOn(own, std::move(*delta)));
+  ApplyStoreDelta(StoreCursor::RebasedOn(own, std::move(*delta)));
 }
 
 void
@@ -345,7 +346,7 @@
   mOnUnreadable(aDelta.mUnreadable);
   tl::expected<void, ApplyError> result;
   if (!aDelta.mObjects.empty() || aDelta.mFull) {
-    mWatchTurns.OnChange();
+    mWatchSchedule.OnChange();
     result = Apply(aDelta, { .mKind = "platform" });
   }
   mCursor.OnRead(aDelta, result);
@@ -462,8 +463,7 @@
 }
 
 void
-ConfigController::Announce(std::uint64_t aRevision,
-                           const SpreadOptions& aSpread)
+ConfigController::Announce(std::uint64_t aRevision, const GossipFanout& aSpread)
 {
   wire::Envelope request;
   request.mutable_announce()->set_revision(aRevision);
--- a/packages/control/src/DirectoryController.cpp
+++ b/packages/control/src/DirectoryController.cpp
@@ -15,8 +15,8 @@
 // A box sends its own record to a few boxes of each zone, which forward it
 // within their zone: at 30 boxes 4 copies cross zones, against 80 with random
 // receivers.
-constexpr SpreadOptions kOwnRecordSpread{ .mOwnZone = 3, .mPerOtherZone = 2 };
-constexpr SpreadOptions kForwardSpread{ .mOwnZone = 3 };
+constexpr GossipFanout kOwnRecordSpread{ .mOwnZone = 3, .mPerOtherZone = 2 };
+constexpr GossipFanout kForwardSpread{ .mOwnZone = 3 };
 constexpr Millis kRetryWait{ 700 };
 // The wait doubles up to this limit, to reduce the load on a failing store.
 constexpr Millis kMaxRetryWait{ 2000 };
@@ -166,7 +166,7 @@
     }
     if (!mStop && Now() >= nextList) {
       nextList = Now() + kListInterval;
-      if (mHooks.mReadsList()) {
+      if (mHooks.mShouldListRecords()) {
         ReadList();
       }
     }
--- a/packages/control/src/DirectoryPeers.cpp
+++ b/packages/control/src/DirectoryPeers.cpp
@@ -19,13 +19,13 @@
 
 void
 DirectoryController::Push(const std::vector<BoxRecord>& aRecords,
-                          const SpreadOptions& aSpread)
+                          const GossipFanout& aSpread)
 {
   wire::Envelope message;
   *message.mutable_box_records() = EncodeRecords(aRecords);
   // The digests on probes reveal records that are lost.
   for (const auto& peer : mHooks.mSpreadPeers(aSpread)) {
-    mTransport.Tell(peer.mControlAddress, message);
+    mTransport.SendOneWay(peer.mControlAddress, message);
   }
 }
 
@@ -103,7 +103,7 @@
                       *message.mutable_box_records() =
                         EncodeRecords(mDirectory.NewerThan(theirs));
                     }
-                    mTransport.Tell(aAddress, std::move(message));
+                    mTransport.SendOneWay(aAddress, std::move(message));
                   });
 }
 
--- a/packages/control/src/EjectionController.cpp
+++ b/packages/control/src/EjectionController.cpp
@@ -217,7 +217,7 @@
     view.mServers.push_back(
       { .mServer = server.mName,
         .mSlots = server.mSlots,
-        .mGone = !own && mMembership.IsUnavailable(server.mBox) });
+        .mDeparted = !own && mMembership.IsUnavailable(server.mBox) });
   }
   return view;
 }
--- a/packages/control/src/LedgerStore.cpp
+++ b/packages/control/src/LedgerStore.cpp
@@ -1,7 +1,7 @@
 #include "porttiller/control/LedgerStore.h"
 
 #include "porttiller/config/JsonText.h"
-#include "porttiller/store/SettledWrite.h"
+#include "porttiller/store/WriteWithReadBack.h"
 
 #include <Poco/Exception.h>
 #include <Poco/JSON/Array.h>
@@ -117,7 +117,7 @@
                    const EjectionLedger& aNext)
 {
   const auto writer = AttemptId(mBox, mIncarnation, ++mWrites).ToString();
-  const auto written = WriteSettled(
+  const auto written = WriteWithReadBack(
     mClient, KeyOf(aService), aHeld.mVersion, EncodeLedger(aNext, writer));
   if (!written) {
     return tl::make_unexpected(written.error());
@@ -156,7 +156,7 @@
   bool heldBefore = false;
   const auto answer = Replace(aService, [&](const EjectionLedger& aLedger) {
     heldBefore = aLedger.Holds(aEntry.mServer, aEntry.mIncarnation);
-    return aLedger.WithoutEarlierLives(mBox, mIncarnation)
+    return aLedger.WithoutEarlierIncarnations(mBox, mIncarnation)
       .WithEjection(aEntry, aCapacity());
   });
   if (answer != PermissionAnswer::kFloor || !heldBefore) {
@@ -173,7 +173,7 @@
                      const BackendServerName& aServer)
 {
   return Replace(aService, [&](const EjectionLedger& aLedger) {
-           return aLedger.WithoutEarlierLives(mBox, mIncarnation)
+           return aLedger.WithoutEarlierIncarnations(mBox, mIncarnation)
              .WithoutServer(aServer);
          }) == PermissionAnswer::kGranted;
 }
@@ -186,8 +186,8 @@
   if (!held) {
     return false;
   }
-  const auto next = held->mLedger.WithoutEarlierLives(mBox, mIncarnation)
-                      .WithOwnOnly(mBox, aHolding);
+  const auto next = held->mLedger.WithoutEarlierIncarnations(mBox, mIncarnation)
+                      .WithoutUnheldEntries(mBox, aHolding);
   return next == held->mLedger || Write(aService, *held, next).has_value();
 }
 
--- a/packages/control/src/LimitController.cpp
+++ b/packages/control/src/LimitController.cpp
@@ -19,7 +19,7 @@
 constexpr Millis kReplyTimeout{ 400 };
 // Grants are no longer sent to an entry that has not reported for this time; it
 // requests them again before it relies on them.
-constexpr Millis kReportersLast{ 3000 };
+constexpr Millis kReporterLifetime{ 3000 };
 // Relative change of a share that is sent at once; a smaller one goes out with
 // the next reply to a report.
 constexpr double kMinShareChange = 0.15;
@@ -117,8 +117,8 @@
     FindCollectors();
     mNextFindCollectors = Now() + kFindCollectorsInterval;
   }
-  mReportsNow = !mReportsNow;
-  if (mReportsNow) {
+  mReportThisTick = !mReportThisTick;
+  if (mReportThisTick) {
     Report();
   }
   Collect();
@@ -193,20 +193,20 @@
       warming = mCollector.Warming(Now());
     }
     mGate.OnGrants(grants, warming);
-    mGate.OnReply(aReport.mQuestion, true);
+    mGate.OnReply(aReport.mReplyToken, true);
     return;
   }
   wire::Envelope message;
   EncodeUses(aReport.mUses, *message.mutable_workspace_report());
-  if (aReport.mQuestion == 0) {
-    mTransport.Tell(aCollector.mControlAddress, std::move(message));
+  if (aReport.mReplyToken == 0) {
+    mTransport.SendOneWay(aCollector.mControlAddress, std::move(message));
     return;
   }
   mTransport.Send(
     aCollector.mControlAddress,
     std::move(message),
     kReplyTimeout,
-    [this, question = aReport.mQuestion](const PeerResult& aResult) {
+    [this, question = aReport.mReplyToken](const PeerResult& aResult) {
       const bool replied = aResult && aResult->has_workspace_grants();
       if (replied) {
         OnGrants(aResult->workspace_grants());
@@ -257,21 +257,21 @@
     mGrants = grants;
     warming = mCollector.Warming(Now());
     std::erase_if(mReporters, [](const auto& aReporter) {
-      return aReporter.second + kReportersLast < Now();
+      return aReporter.second + kReporterLifetime < Now();
     });
   }
   mMetrics.LimitedWorkspaces().Set(static_cast<double>(grants.size()));
   if (!uses.empty()) {
     Exchange(uses);
   }
-  const bool workspacesChanged = !SameWorkspaces(grants, mTold);
+  const bool workspacesChanged = !SameWorkspaces(grants, mSentGrants);
   if (workspacesChanged) {
     LogChanges(grants);
   }
   if (workspacesChanged ||
-      (Now() >= mNextGrantSend && SharesChanged(grants, mTold))) {
+      (Now() >= mNextGrantSend && SharesChanged(grants, mSentGrants))) {
     SendGrants(grants, warming);
-    mTold = grants;
+    mSentGrants = grants;
     mNextGrantSend = Now() + kMinGrantInterval;
   }
 }
@@ -284,7 +284,7 @@
   EncodeUses(aUses, *report);
   report->set_from_collector(true);
   for (const auto& collector : mCollectors.mOthers) {
-    mTransport.Tell(collector.mControlAddress, message);
+    mTransport.SendOneWay(collector.mControlAddress, message);
   }
 }
 
@@ -305,7 +305,7 @@
   message.mutable_workspace_grants()->set_warming(aWarming);
   for (const auto& reporter : reporters) {
     if (const auto* spec = snapshot->FindBox(reporter)) {
-      mTransport.Tell(spec->mControlAddress, message);
+      mTransport.SendOneWay(spec->mControlAddress, message);
     }
   }
 }
@@ -326,7 +326,7 @@
                         });
     return missing;
   };
-  for (const auto& grant : missingIn(aGrants, mTold)) {
+  for (const auto& grant : missingIn(aGrants, mSentGrants)) {
     constexpr double kPermille = 1000.0;
     const auto least =
       *std::min_element(grant.mShares.begin(), grant.mShares.end());
@@ -335,7 +335,7 @@
       .With("state", "held")
       .With("share_permille", static_cast<std::int64_t>(least * kPermille));
   }
-  for (const auto& grant : missingIn(mTold, aGrants)) {
+  for (const auto& grant : missingIn(mSentGrants, aGrants)) {
     LogLine(LogLevel::kInfo, "workspace_limit")
       .With("workspace", grant.mWorkspace.Value())
       .With("state", "free");
--- a/packages/control/src/MembershipController.cpp
+++ b/packages/control/src/MembershipController.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kLeaveNotices = 5; // boxes notified directly
 // Updates that change where requests go cross the fleet in a few hops: they are
 // sent to each zone, and a box to which one is new sends it on.
-constexpr SpreadOptions kUrgentSpread{ .mOwnZone = 3, .mPerOtherZone = 1 };
+constexpr GossipFanout kUrgentSpread{ .mOwnZone = 3, .mPerOtherZone = 1 };
 // Updates in one message: those of 120 boxes that are cut off at once then fit
 // into a few messages of 2 KB.
 constexpr std::size_t kMaxUrgentUpdates = 32;
@@ -87,7 +87,7 @@
   mSnapshot = aSnapshot;
   mMembership.SetBoxes(boxes);
   for (const auto& [box, incarnation] : aSnapshot->mIncarnations) {
-    mMembership.OnNewLife(box, incarnation);
+    mMembership.OnNewIncarnation(box, incarnation);
   }
 }
 
@@ -131,12 +131,12 @@
   }
   const auto message = MakeProbe(updates);
   for (const auto& peer : SpreadPeers(kUrgentSpread)) {
-    mTransport.Tell(peer.mControlAddress, message);
+    mTransport.SendOneWay(peer.mControlAddress, message);
   }
   for (const auto& update : updates) {
     const auto spec = SpecOf(update.mBox);
     if (update.mState == MemberState::kSuspect && spec) {
-      mTransport.Tell(spec->mControlAddress, message);
+      mTransport.SendOneWay(spec->mControlAddress, message);
     }
     LogLine(LogLevel::kInfo, "box_state")
       .With("of", update.mBox.Value())
@@ -156,7 +156,7 @@
   std::set<BoxName> avoided;
   {
     const std::lock_guard lock(mMutex);
-    for (auto& box : mMembership.NotWorthSending()) {
+    for (auto& box : mMembership.NonRoutableBoxes()) {
       avoided.insert(std::move(box));
     }
   }
@@ -398,7 +398,7 @@
 }
 
 std::vector<BoxSpec>
-MembershipController::SpreadPeers(const SpreadOptions& aOptions) const
+MembershipController::SpreadPeers(const GossipFanout& aOptions) const
 {
   std::vector<BoxSpec> peers;
   const auto snapshot = CurrentSnapshot();
--- a/packages/control/src/NewsController.cpp
+++ b/packages/control/src/ServerUpdateController.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/control/NewsController.h"
+#include "porttiller/control/ServerUpdateController.h"
 
 #include "porttiller/telemetry/Log.h"
 
@@ -12,11 +12,12 @@
 
 } // namespace
 
-NewsController::NewsController(const Settings& aSettings,
-                               Home& aHome,
-                               EntryView& aView,
-                               PeerTransport& aTransport,
-                               std::function<SnapshotPtr()> aSnapshot)
+ServerUpdateController::ServerUpdateController(
+  const Settings& aSettings,
+  Home& aHome,
+  EntryView& aView,
+  PeerTransport& aTransport,
+  std::function<SnapshotPtr()> aSnapshot)
   : mSettings(aSettings)
   , mHome(aHome)
   , mView(aView)
@@ -26,29 +27,29 @@
 }
 
 void
-NewsController::Start()
+ServerUpdateController::Start()
 {
   mTicker = std::make_unique<Ticker>(kTick, [this] { Tick(); });
 }
 
 void
-NewsController::Stop()
+ServerUpdateController::Stop()
 {
   mTicker.reset();
 }
 
 void
-NewsController::Tick()
+ServerUpdateController::Tick()
 {
   for (const auto& server : mHome.Servers()) {
-    if (const auto news = server->TakeNews(Now())) {
+    if (const auto news = server->TakeStateUpdate(Now())) {
       Notify(*news);
     }
   }
 }
 
 void
-NewsController::Notify(const ServerStateUpdate& aNews)
+ServerUpdateController::Notify(const ServerStateUpdate& aNews)
 {
   const auto snapshot = mSnapshot();
   if (!snapshot) {
@@ -70,12 +71,12 @@
       continue;
     }
     if (receiver == mSettings.mBox) {
-      mView.OnNews(aNews, Now());
+      mView.OnServerUpdate(aNews, Now());
       continue;
     }
     // A box that misses the message learns the state when it next sends a
     // request to the home.
-    mTransport.Tell(box->mControlAddress, message);
+    mTransport.SendOneWay(box->mControlAddress, message);
   }
   LogLine(LogLevel::kInfo, "server_news")
     .With("server", aNews.mServer.ToString())
@@ -84,17 +85,17 @@
 }
 
 void
-NewsController::OnNews(const wire::ServerNews& aMessage)
+ServerUpdateController::OnServerUpdate(const wire::ServerNews& aMessage)
 {
   const auto start = aMessage.has_start_ms()
                        ? std::optional<std::int64_t>(aMessage.start_ms())
                        : std::nullopt;
   const ServerIncarnation server(BackendServerName(aMessage.server()), start);
-  mView.OnNews({ .mServer = server,
-                 .mService = ServiceName(aMessage.service()),
-                 .mDemoted = aMessage.demoted(),
-                 .mRetryAfter = Millis(aMessage.retry_after_ms()) },
-               Now());
+  mView.OnServerUpdate({ .mServer = server,
+                         .mService = ServiceName(aMessage.service()),
+                         .mDemoted = aMessage.demoted(),
+                         .mRetryAfter = Millis(aMessage.retry_after_ms()) },
+                       Now());
 }
 
 } // namespace porttiller
--- a/packages/control/src/StatusController.cpp
+++ b/packages/control/src/StatusController.cpp
@@ -3,7 +3,7 @@
 #include "porttiller/config/JsonText.h"
 #include "porttiller/control/StoreClient.h"
 #include "porttiller/core/Rendezvous.h"
-#include "porttiller/store/SettledWrite.h"
+#include "porttiller/store/WriteWithReadBack.h"
 #include "porttiller/telemetry/Log.h"
 
 #include <Poco/JSON/Array.h>
@@ -145,7 +145,7 @@
       return; // this box is behind; another one writes the newer revision
     }
   }
-  if (WriteSettled(mClient, key, held ? held->mVersion : 0, aStatus)) {
+  if (WriteWithReadBack(mClient, key, held ? held->mVersion : 0, aStatus)) {
     mWrittenStatus = aStatus;
   }
 }
--- a/packages/control/src/StoreClient.cpp
+++ b/packages/control/src/StoreClient.cpp
@@ -27,9 +27,10 @@
   };
   return { .mAddress = aSettings.mPlatformAddress,
            .mTimeout = aTimeout,
-           .mKeptPatience = aSettings.mTiming.mApply / kPatienceDivisor,
+           .mReusedReadTimeout =
+             aSettings.mTiming.mApplyLimit / kPatienceDivisor,
            .mDialect = StoreDialectOf(aSettings),
-           .mOnKeptFailed = log };
+           .mOnReusedReadFailed = log };
 }
 
 } // namespace porttiller
--- a/packages/control/tests/ConfigControllerTest.cpp
+++ b/packages/control/tests/ConfigControllerTest.cpp
@@ -18,7 +18,7 @@
 
 const ConfigPeers kNoPeers{
   .mLiveBoxes = [] { return std::vector<BoxName>{}; },
-  .mSpreadPeers = [](const SpreadOptions&) { return std::vector<BoxSpec>{}; }
+  .mSpreadPeers = [](const GossipFanout&) { return std::vector<BoxSpec>{}; }
 };
 
 // A peer's answer that holds the whole configuration at a revision.
--- a/packages/core/include/porttiller/core/Refusal.h
+++ b/packages/core/include/porttiller/core/RejectReason.h
@@ -7,7 +7,7 @@
 
 namespace porttiller {
 
-enum class Refusal
+enum class RejectReason
 {
   kNone,
   kIncarnation, // the attempt names another incarnation of the home
@@ -25,12 +25,12 @@
   kUnreachable  // set by the entry: it could not reach the home
 };
 
-inline constexpr std::size_t kRefusalCount = 14;
+inline constexpr std::size_t kRejectReasonCount = 14;
 
 std::string_view
-ToText(Refusal aRefusal);
+ToText(RejectReason aRejectReason);
 
-std::optional<Refusal>
-ParseRefusal(std::string_view aText);
+std::optional<RejectReason>
+ParseRejectReason(std::string_view aText);
 
 } // namespace porttiller
--- a/packages/core/src/Refusal.cpp
+++ b/packages/core/src/RejectReason.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/core/Refusal.h"
+#include "porttiller/core/RejectReason.h"
 
 #include <algorithm>
 #include <array>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, kRefusalCount> kRefusals = {
+constexpr std::array<std::string_view, kRejectReasonCount> kRefusals = {
   "none",    "incarnation", "no-server",   "leaving",    "ejected",
   "demoted", "overloaded",  "server-busy", "no-retries", "expired",
   "revoked", "duplicate",   "stale",       "unreachable"
@@ -16,19 +16,19 @@
 } // namespace
 
 std::string_view
-ToText(Refusal aRefusal)
+ToText(RejectReason aRejectReason)
 {
-  return kRefusals.at(static_cast<std::size_t>(aRefusal));
+  return kRefusals.at(static_cast<std::size_t>(aRejectReason));
 }
 
-std::optional<Refusal>
-ParseRefusal(std::string_view aText)
+std::optional<RejectReason>
+ParseRejectReason(std::string_view aText)
 {
   const auto it = std::find(kRefusals.begin(), kRefusals.end(), aText);
   if (it == kRefusals.end()) {
     return std::nullopt;
   }
-  return static_cast<Refusal>(it - kRefusals.begin());
+  return static_cast<RejectReason>(it - kRefusals.begin());
 }
 
 } // namespace porttiller
--- a/packages/entry/include/porttiller/entry/AttemptFilter.h
+++ b/packages/entry/include/porttiller/entry/AttemptFilter.h
@@ -13,10 +13,10 @@
 namespace porttiller {
 
 // Generates attempt ids. One instance per daemon keeps them unique.
-class AttemptNamer
+class AttemptIdGenerator
 {
 public:
-  AttemptNamer(BoxName aBox, Incarnation aIncarnation);
+  AttemptIdGenerator(BoxName aBox, Incarnation aIncarnation);
   AttemptId Next();
 
 private:
@@ -31,7 +31,7 @@
   EntryView& mView;
   Dispatcher& mDispatcher;
   Metrics& mMetrics;
-  AttemptNamer& mNamer;
+  AttemptIdGenerator& mAttemptIdGenerator;
   AttemptPool& mPool;
   WorkspaceGate& mGate;
 };
--- a/packages/entry/include/porttiller/entry/Dispatcher.h
+++ b/packages/entry/include/porttiller/entry/Dispatcher.h
@@ -5,7 +5,7 @@
 #include "porttiller/config/Snapshot.h"
 #include "porttiller/entry/EntryView.h"
 #include "porttiller/home/Home.h"
-#include "porttiller/hop/Cutoff.h"
+#include "porttiller/hop/ShutdownDeadline.h"
 #include "porttiller/peer/PeerTransport.h"
 #include "porttiller/telemetry/Metrics.h"
 
@@ -20,14 +20,14 @@
 struct AttemptAnswered
 {
   HttpAnswer mHttp;
-  double mLoad = 0.0;     // of the server, as reported by its home
-  Micros mUsualTime{ 0 }; // 90th percentile of the route; 0: not known
+  double mLoad = 0.0;      // of the server, as reported by its home
+  Micros mLatencyP90{ 0 }; // 90th percentile of the route; 0: not known
 };
 
 // The attempt was not run and never will be.
 struct AttemptNotRun
 {
-  Refusal mRefusal = Refusal::kNone;
+  RejectReason mRejectReason = RejectReason::kNone;
   Millis mRetryAfter{ 0 };
 };
 
@@ -57,7 +57,7 @@
              EntryView& aView,
              PeerTransport& aTransport,
              Metrics& aMetrics,
-             const Cutoff& aCutoff);
+             const ShutdownDeadline& aShutdownDeadline);
 
   // Fills in the incarnation of the home, sends aRequest and waits for the
   // result.
@@ -99,7 +99,7 @@
   EntryView& mView;
   PeerTransport& mTransport;
   Metrics& mMetrics;
-  const Cutoff& mCutoff;
+  const ShutdownDeadline& mShutdownDeadline;
   std::mutex mPoolsMutex;
   std::map<std::string, std::unique_ptr<HttpPool>> mPools; // by address
 };
--- a/packages/entry/include/porttiller/entry/EntryView.h
+++ b/packages/entry/include/porttiller/entry/EntryView.h
@@ -29,8 +29,8 @@
 // Limits the servers that the next attempt may be sent to.
 struct ChoiceConstraints
 {
-  bool mMayFail = false;  // may be a trial request to a demoted server
-  bool mOpenOnly = false; // only servers whose standing is kOpen
+  bool mCanFailOver = false; // may be a trial request to a demoted server
+  bool mOpenOnly = false;    // only servers whose standing is kOpen
 };
 
 struct Choice
@@ -57,21 +57,21 @@
   // The reported load decays: a server that gets no requests sends no new
   // report and would otherwise be avoided for ever.
   void OnLoad(const BackendServerSpec& aServer, double aLoad, TimePoint aNow);
-  void OnRefused(const BackendServerSpec& aServer,
-                 Refusal aRefusal,
-                 Millis aRetryAfter,
-                 bool aMayFail, // of the rejected request
-                 TimePoint aNow);
+  void OnRejected(const BackendServerSpec& aServer,
+                  RejectReason aRejectReason,
+                  Millis aRetryAfter,
+                  bool aCanFailOver, // of the rejected request
+                  TimePoint aNow);
 
   // A server update sent by the home of the server.
-  void OnNews(const ServerStateUpdate& aUpdate, TimePoint aNow);
+  void OnServerUpdate(const ServerStateUpdate& aUpdate, TimePoint aNow);
 
   // The network path to a box failed or worked. Not counted against its
   // servers.
   void OnPathFailure(const BoxName& aBox, TimePoint aNow);
   void OnPathSuccess(const BoxName& aBox);
-  HomeState LifeOf(const BoxName& aBox) const;
-  void SetLife(const BoxName& aBox, const HomeState& aState);
+  HomeState HomeStateOf(const BoxName& aBox) const;
+  void SetHomeState(const BoxName& aBox, const HomeState& aState);
   // From membership: dead and leaving boxes are used last.
   void SetBoxUsable(const BoxName& aBox, bool aUsable);
 
@@ -86,9 +86,9 @@
                     Micros aTime);
   // Delay after which a repeatable request of the route is hedged.
   // aTotalTime: from the arrival of the request to its deadline.
-  Micros RaceDelay(const ServiceName& aService,
-                   const std::string& aRoute,
-                   Micros aTotalTime) const;
+  Micros HedgeDelay(const ServiceName& aService,
+                    const std::string& aRoute,
+                    Micros aTotalTime) const;
 
   std::string Dump() const;
 
@@ -102,8 +102,8 @@
     int mInFlight = 0;
     double mLoad = 0.0; // as reported at mLoadAt
     TimePoint mLoadAt;
-    Standing mStanding = Standing::kOpen;
-    TimePoint mStandingUntil;
+    Eligibility mEligibility = Eligibility::kOpen;
+    TimePoint mEligibilityUntil;
     // Until mDemotedUntil its home rejects requests that must not fail, until
     // mNoTrialUntil also trial requests.
     TimePoint mDemotedUntil;
@@ -165,14 +165,14 @@
   bool PathAvoided(const ResolvedServer& aResolved, TimePoint aNow) const;
   Candidate MakeCandidate(const ResolvedServer& aResolved,
                           const AttemptPlan& aPlan,
-                          bool aMayFail,
+                          bool aCanFailOver,
                           TimePoint aNow) const;
   // Adds up to aMaxCount servers, in the order of aOrder.
   void AddCandidates(std::vector<Candidate>& aCandidates,
                      const ServerOrder& aOrder,
                      std::size_t aMaxCount,
                      const AttemptPlan& aPlan,
-                     bool aMayFail,
+                     bool aCanFailOver,
                      TimePoint aNow) const;
 
   const BoxName mBox;
--- a/packages/entry/include/porttiller/entry/WorkspaceGate.h
+++ b/packages/entry/include/porttiller/entry/WorkspaceGate.h
@@ -22,11 +22,11 @@
   // first.
   LimitVerdict Offer(const WorkspaceSpec& aWorkspace, Priority aPriority);
   // Undoes the admission of a request that was not run.
-  void GiveBack(const WorkspaceName& aWorkspace);
+  void Refund(const WorkspaceName& aWorkspace);
 
   // Called at each tick of the controller; see UseReporter::Next.
   std::optional<UseReport> NextReport(const std::vector<BoxName>& aCollectors);
-  // aQuery: UseReport::mQuestion. aReplied: false when the reply timed out.
+  // aQuery: UseReport::mReplyToken. aReplied: false when the reply timed out.
   void OnReply(std::uint64_t aQuery, bool aReplied);
   // Admitted shares from a collector.
   void OnGrants(const WorkspaceGrants& aGrants, bool aWarming);
--- a/packages/entry/src/AttemptFilter.cpp
+++ b/packages/entry/src/AttemptFilter.cpp
@@ -37,14 +37,14 @@
 
 } // namespace
 
-AttemptNamer::AttemptNamer(BoxName aBox, Incarnation aIncarnation)
+AttemptIdGenerator::AttemptIdGenerator(BoxName aBox, Incarnation aIncarnation)
   : mBox(std::move(aBox))
   , mIncarnation(aIncarnation)
 {
 }
 
 AttemptId
-AttemptNamer::Next()
+AttemptIdGenerator::Next()
 {
   return { mBox, mIncarnation, mNext.fetch_add(1) };
 }
--- a/packages/entry/src/AttemptRunPriv.cpp
+++ b/packages/entry/src/AttemptRunPriv.cpp
@@ -14,7 +14,7 @@
 
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-constexpr int kServerErrors = 500;
+constexpr int kFirstServerErrorStatus = 500;
 // Most of these are rejected by homes, which costs a round trip each but no
 // work of a server.
 constexpr int kMaxAttempts = 12;
@@ -40,23 +40,23 @@
          aAttempt.ToString();
 }
 
-Setback
-ToSetback(Refusal aRefusal)
+NotRunReason
+ToNotRunReason(RejectReason aRejectReason)
 {
-  switch (aRefusal) {
-    case Refusal::kIncarnation:
-    case Refusal::kExpired:
+  switch (aRejectReason) {
+    case RejectReason::kIncarnation:
+    case RejectReason::kExpired:
       // The rejection carries the home's incarnation and clock.
-      return Setback::kSameAgain;
-    case Refusal::kDemoted:
-      return Setback::kDemoted;
-    case Refusal::kOverloaded:
-    case Refusal::kNoRetries:
-      return Setback::kFull;
-    case Refusal::kServerBusy:
-      return Setback::kOverloaded;
+      return NotRunReason::kRetrySameServer;
+    case RejectReason::kDemoted:
+      return NotRunReason::kDemoted;
+    case RejectReason::kOverloaded:
+    case RejectReason::kNoRetries:
+      return NotRunReason::kNoCapacity;
+    case RejectReason::kServerBusy:
+      return NotRunReason::kOverloaded;
     default:
-      return Setback::kElsewhere;
+      return NotRunReason::kTryElsewhere;
   }
 }
 
@@ -133,7 +133,7 @@
     const auto choice = mDependencies.mView.Choose(*mContext.mSnapshot,
                                                    *mContext.mService,
                                                    mPlan,
-                                                   { .mMayFail = mayFail },
+                                                   { .mCanFailOver = mayFail },
                                                    Now());
     if (choice.mServer != nullptr) {
       if (mPlan.Attempts() > 0) {
@@ -142,7 +142,7 @@
       SendTo(*choice.mServer, mayFail);
       return true;
     }
-    if (!mPlan.Widen(choice.mDemotedLeft)) {
+    if (!mPlan.AllowLastResort(choice.mDemotedLeft)) {
       return false;
     }
   }
@@ -153,11 +153,11 @@
 // to do until its result. A repeatable one is, too, when the pool has no free
 // thread; it is then not hedged.
 void
-AttemptRun::SendTo(const BackendServerSpec& aServer, bool aMayFail)
+AttemptRun::SendTo(const BackendServerSpec& aServer, bool aCanFailOver)
 {
-  RunningAttempt attempt{ .mId = mDependencies.mNamer.Next(),
+  RunningAttempt attempt{ .mId = mDependencies.mAttemptIdGenerator.Next(),
                           .mServer = &aServer,
-                          .mMayFail = aMayFail };
+                          .mCanFailOver = aCanFailOver };
   attempt.mCancelled =
     mContext.mRepeatable ? Cancellation::Make() : mContext.mCancelled;
   auto request = MakeRequest(attempt);
@@ -175,41 +175,41 @@
     view->OnEnded(*server);
     results->Put({ request.mAttempt, std::move(result) });
   };
-  mRaceAt = mContext.mRepeatable ? Now() + RaceDelay() : TimePoint::max();
+  mHedgeAt = mContext.mRepeatable ? Now() + HedgeDelay() : TimePoint::max();
   if (!mContext.mRepeatable || !mDependencies.mPool.Start(send)) {
     send();
   }
 }
 
 Micros
-AttemptRun::RaceDelay() const
+AttemptRun::HedgeDelay() const
 {
-  return mDependencies.mView.RaceDelay(mContext.mService->mSpec.mName,
-                                       mContext.mRoute->mName,
-                                       mContext.mDeadline - mContext.mArrival);
+  return mDependencies.mView.HedgeDelay(mContext.mService->mSpec.mName,
+                                        mContext.mRoute->mName,
+                                        mContext.mDeadline - mContext.mArrival);
 }
 
 // Sends a hedged attempt to an open server, if there is one and the plan allows
 // it: the running attempt takes unusually long.
 void
-AttemptRun::Race()
+AttemptRun::Hedge()
 {
-  mRaceAt = Now() + RaceDelay();
-  if (!mPlan.MayRace(kUnlimitedRetries)) {
+  mHedgeAt = Now() + HedgeDelay();
+  if (!mPlan.MayHedge(kUnlimitedRetries)) {
     return;
   }
   const auto* server = mDependencies.mView
                          .Choose(*mContext.mSnapshot,
                                  *mContext.mService,
                                  mPlan,
-                                 { .mMayFail = false, .mOpenOnly = true },
+                                 { .mCanFailOver = false, .mOpenOnly = true },
                                  Now())
                          .mServer;
   if (server == nullptr) {
     return;
   }
-  mDependencies.mMetrics.Races().Increment();
-  LogRace(*server);
+  mDependencies.mMetrics.HedgedAttempts().Increment();
+  LogHedge(*server);
   SendTo(*server, false);
 }
 
@@ -218,14 +218,14 @@
 void
 AttemptRun::AwaitResult()
 {
-  const auto until = std::min(mContext.mDeadline, mRaceAt);
+  const auto until = std::min(mContext.mDeadline, mHedgeAt);
   const auto start = Now();
   auto ended = mResults->Await(until);
   mContext.mHomeTime += Now() - start;
   if (ended) {
     ProcessResult(std::move(*ended));
-  } else if (Now() >= mRaceAt) {
-    Race();
+  } else if (Now() >= mHedgeAt) {
+    Hedge();
   }
 }
 
@@ -259,10 +259,10 @@
                        .mServer = aAttempt.mServer->mName,
                        .mPriority = mContext.mPriority,
                        .mRepeatable = mContext.mRepeatable,
-                       .mMayFail = aAttempt.mMayFail,
+                       .mCanFailOver = aAttempt.mCanFailOver,
                        .mLastResort = mPlan.LastResort(),
-                       .mRepeat = mPlan.ReachedBefore(),
-                       .mUsualErrors = mDependencies.mView.ErrorRate(
+                       .mIsRetry = mPlan.MayHaveReachedServer(),
+                       .mServiceErrorRate = mDependencies.mView.ErrorRate(
                          mContext.mService->mSpec.mName),
                        .mDeadline = mContext.mDeadline,
                        .mRequestKey = mContext.mRequestKey,
@@ -299,12 +299,12 @@
 void
 AttemptRun::operator()(AttemptAnswered& aAnswered)
 {
-  const bool failed = aAnswered.mHttp.mStatus >= kServerErrors;
+  const bool failed = aAnswered.mHttp.mStatus >= kFirstServerErrorStatus;
   mDependencies.mView.OnAnswered(mContext.mService->mSpec.mName, failed);
   mDependencies.mView.OnLoad(*mEnded.mServer, aAnswered.mLoad, Now());
   mDependencies.mView.OnLatencyP90(mContext.mService->mSpec.mName,
                                    mContext.mRoute->mName,
-                                   aAnswered.mUsualTime);
+                                   aAnswered.mLatencyP90);
   mAnswer = ToCallerAnswer(std::move(aAnswered.mHttp));
   mPlan.OnAnswered(failed, kUnlimitedRetries);
   mDone = !failed;
@@ -313,22 +313,23 @@
 void
 AttemptRun::operator()(const AttemptNotRun& aNotRun)
 {
-  mDependencies.mMetrics.CountRefusal(aNotRun.mRefusal);
-  mDependencies.mView.OnRefused(*mEnded.mServer,
-                                aNotRun.mRefusal,
-                                aNotRun.mRetryAfter,
-                                mEnded.mMayFail,
-                                Now());
-  mReason = std::string(ToText(aNotRun.mRefusal));
+  mDependencies.mMetrics.CountRefusal(aNotRun.mRejectReason);
+  mDependencies.mView.OnRejected(*mEnded.mServer,
+                                 aNotRun.mRejectReason,
+                                 aNotRun.mRetryAfter,
+                                 mEnded.mCanFailOver,
+                                 Now());
+  mReason = std::string(ToText(aNotRun.mRejectReason));
   LogFailedAttempt(mReason);
-  if (aNotRun.mRefusal == Refusal::kOverloaded) {
+  if (aNotRun.mRejectReason == RejectReason::kOverloaded) {
     mRetryAfter =
       std::min(mRetryAfter.value_or(aNotRun.mRetryAfter), aNotRun.mRetryAfter);
   }
-  mPlan.OnNotRun(
-    mEnded.mServer->mName, ToSetback(aNotRun.mRefusal), kUnlimitedRetries);
-  if (!mRunning.empty() && aNotRun.mRefusal != Refusal::kNoRetries) {
-    mRaceAt = Now(); // this attempt reached no server; hedge again
+  mPlan.OnNotRun(mEnded.mServer->mName,
+                 ToNotRunReason(aNotRun.mRejectReason),
+                 kUnlimitedRetries);
+  if (!mRunning.empty() && aNotRun.mRejectReason != RejectReason::kNoRetries) {
+    mHedgeAt = Now(); // this attempt reached no server; hedge again
   }
 }
 
@@ -346,7 +347,7 @@
 {
   const auto& box = aAttempt.mServer->mBox;
   return MakeToken(
-    box, mDependencies.mView.LifeOf(box).mIncarnation, aAttempt.mId);
+    box, mDependencies.mView.HomeStateOf(box).mIncarnation, aAttempt.mId);
 }
 
 void
@@ -366,7 +367,7 @@
 }
 
 void
-AttemptRun::LogRace(const BackendServerSpec& aServer) const
+AttemptRun::LogHedge(const BackendServerSpec& aServer) const
 {
   const auto elapsed =
     std::chrono::duration_cast<Millis>(Now() - mContext.mArrival);
@@ -376,7 +377,7 @@
     .With("server", aServer.mName.Value())
     .With("home", aServer.mBox.Value())
     .With("held_ms", elapsed.count())
-    .With("usual_ms", std::chrono::duration_cast<Millis>(RaceDelay()).count());
+    .With("usual_ms", std::chrono::duration_cast<Millis>(HedgeDelay()).count());
 }
 
 CallerAnswer
--- a/packages/entry/src/AttemptRunPriv.h
+++ b/packages/entry/src/AttemptRunPriv.h
@@ -17,8 +17,8 @@
 {
   AttemptId mId;
   const BackendServerSpec* mServer = nullptr; // in the request's snapshot
-  bool mMayFail = false; // another server may be tried after it
-  CancelFlag mCancelled; // of this attempt alone
+  bool mCanFailOver = false; // another server may be tried after it
+  CancelFlag mCancelled;     // of this attempt alone
 };
 
 struct EndedAttempt
@@ -64,16 +64,16 @@
 private:
   bool MayContinue() const;
   bool SendNext();
-  void SendTo(const BackendServerSpec& aServer, bool aMayFail);
-  void Race();
+  void SendTo(const BackendServerSpec& aServer, bool aCanFailOver);
+  void Hedge();
   void AwaitResult();
   void ProcessResult(EndedAttempt aEnded);
   void CancelRunning();
-  Micros RaceDelay() const;
+  Micros HedgeDelay() const;
   HomeRequest MakeRequest(const RunningAttempt& aAttempt) const;
   HttpHeaders ServerHeaders() const;
   void LogFailedAttempt(const std::string& aResult) const;
-  void LogRace(const BackendServerSpec& aServer) const;
+  void LogHedge(const BackendServerSpec& aServer) const;
   std::string TokenOf(const RunningAttempt& aAttempt) const;
   CallerAnswer MakeFailureAnswer() const;
 
@@ -84,7 +84,7 @@
   std::shared_ptr<AttemptResults> mResults;
   Cancellation::Watch mCallerWatch;
   RunningAttempt mEnded; // the one whose result is being processed
-  TimePoint mRaceAt = TimePoint::max();
+  TimePoint mHedgeAt = TimePoint::max();
   bool mDone = false;
   std::string mReason = "no-server";
   std::string mToken;
--- a/packages/entry/src/Dispatcher.cpp
+++ b/packages/entry/src/Dispatcher.cpp
@@ -19,9 +19,9 @@
     case Outcome::kRun:
       return AttemptAnswered{ std::move(aAnswer.mHttp),
                               aAnswer.mLoad,
-                              aAnswer.mUsualTime };
+                              aAnswer.mLatencyP90 };
     case Outcome::kNotRun:
-      return AttemptNotRun{ aAnswer.mRefusal, aAnswer.mRetryAfter };
+      return AttemptNotRun{ aAnswer.mRejectReason, aAnswer.mRetryAfter };
     case Outcome::kUnknown:
       break;
   }
@@ -94,13 +94,13 @@
                        EntryView& aView,
                        PeerTransport& aTransport,
                        Metrics& aMetrics,
-                       const Cutoff& aCutoff)
+                       const ShutdownDeadline& aShutdownDeadline)
   : mSettings(aSettings)
   , mHome(aHome)
   , mView(aView)
   , mTransport(aTransport)
   , mMetrics(aMetrics)
-  , mCutoff(aCutoff)
+  , mShutdownDeadline(aShutdownDeadline)
 {
 }
 
@@ -122,14 +122,14 @@
 AttemptResult
 Dispatcher::Send(const BoxSpec& aBox, HomeRequest aRequest)
 {
-  if (aBox.mName == mSettings.mBox && !Lingers(aRequest)) {
+  if (aBox.mName == mSettings.mBox && !WaitsPastDeadline(aRequest)) {
     aRequest.mHomeIncarnation = mHome.OwnIncarnation();
     return SendLocal(aRequest);
   }
   // The home may hold a lingering request past the caller's deadline, but the
   // entry must answer by then. A local call would block, so such a request
   // takes the remote path even to the home of this box.
-  aRequest.mHomeIncarnation = mView.LifeOf(aBox.mName).mIncarnation;
+  aRequest.mHomeIncarnation = mView.HomeStateOf(aBox.mName).mIncarnation;
   return SendRemote(aBox, aRequest);
 }
 
@@ -142,7 +142,7 @@
 AttemptResult
 Dispatcher::SendRemote(const BoxSpec& aBox, const HomeRequest& aRequest)
 {
-  const auto offset = mView.LifeOf(aBox.mName).mClockOffset;
+  const auto offset = mView.HomeStateOf(aBox.mName).mClockOffset;
   const auto http = EncodeHomeRequest(aRequest, offset, Now());
   auto exchange = PoolOf(aBox).Begin(http, aRequest.mDeadline);
   if (exchange) {
@@ -150,11 +150,11 @@
     return AwaitAnswer(aBox, aRequest, **exchange);
   }
   if (exchange.error() == ExchangeError::kBusy) {
-    return AttemptNotRun{ Refusal::kOverloaded, kUnreachableRetryAfter };
+    return AttemptNotRun{ RejectReason::kOverloaded, kUnreachableRetryAfter };
   }
   mView.OnPathFailure(aBox.mName, Now());
   if (exchange.error() == ExchangeError::kNotSent) {
-    return AttemptNotRun{ Refusal::kUnreachable, kUnreachableRetryAfter };
+    return AttemptNotRun{ RejectReason::kUnreachable, kUnreachableRetryAfter };
   }
   return ResolveOutcome(aBox, aRequest, ToText(exchange.error()));
 }
@@ -164,7 +164,7 @@
                          HttpExchange& aExchange,
                          TimePoint aUntil) const
 {
-  return mCutoff.WaitInSlices(
+  return mShutdownDeadline.WaitInIntervals(
     aUntil,
     [&] { return IsCancelled(aRequest); },
     [&](TimePoint aSliceEnd) { return aExchange.WaitReadable(aSliceEnd); });
@@ -189,7 +189,7 @@
   // In a planned stop, an attempt that may be running is not abandoned: the
   // caller is owed its result, and there is little time for another attempt.
   const bool keepWaiting =
-    mCutoff.IsSet() ||
+    mShutdownDeadline.IsSet() ||
     (mSettings.mFailingServers == FailingServers::kBreak &&
      Query(aBox, aRequest.mHomeIncarnation, aRequest.mAttempt, "").mState ==
        AttemptState::kRunning);
@@ -217,7 +217,7 @@
                            const HomeRequest& aRequest,
                            HttpExchange& aExchange)
 {
-  auto http = aExchange.ReadAnswer(mCutoff.Limit(aRequest.mDeadline),
+  auto http = aExchange.ReadAnswer(mShutdownDeadline.Limit(aRequest.mDeadline),
                                    [&] { return IsCancelled(aRequest); });
   if (!http && http.error() == ExchangeError::kCancelled) {
     return AttemptUnknown{ "caller-gone" };
@@ -235,7 +235,7 @@
     return ResolveOutcome(aBox, aRequest, "foreign-answer");
   }
   const Millis offset = decoded->mHomeClock - Millis(ToMillis(Now()));
-  mView.SetLife(
+  mView.SetHomeState(
     aBox.mName,
     { .mIncarnation = decoded->mIncarnation, .mClockOffset = offset });
   mView.OnPathSuccess(aBox.mName);
@@ -250,7 +250,7 @@
   const auto attemptStatus = Revoke(
     aBox, aRequest.mHomeIncarnation, aRequest.mAttempt, aRequest.mRequestKey);
   if (attemptStatus.mState == AttemptState::kNotRun) {
-    return AttemptNotRun{ Refusal::kRevoked, kUnreachableRetryAfter };
+    return AttemptNotRun{ RejectReason::kRevoked, kUnreachableRetryAfter };
   }
   if (attemptStatus.mState == AttemptState::kFinished &&
       attemptStatus.mAnswer) {
--- a/packages/entry/src/EntryServer.cpp
+++ b/packages/entry/src/EntryServer.cpp
@@ -77,11 +77,12 @@
                           static_cast<std::size_t>(callers.mMaxBodyBytes) },
            .mIdleClose = kCallerKeepAlive,
            .mRefuse =
-             [this](ListenerRefusal aRefusal) {
+             [this](ListenerRejection aRejectReason) {
                LogLine(LogLevel::kInfo, "request_unreadable")
-                 .With("reason", ToText(aRefusal));
-               auto answer = MakeProxyAnswer(
-                 StatusOf(aRefusal), Outcome::kNotRun, ToText(aRefusal));
+                 .With("reason", ToText(aRejectReason));
+               auto answer = MakeProxyAnswer(StatusOf(aRejectReason),
+                                             Outcome::kNotRun,
+                                             ToText(aRejectReason));
                answer.mCloseConnection = true;
                return ToReply(std::move(answer), "");
              },
@@ -120,7 +121,7 @@
   auto context = MakeContext(aCall);
   auto answer = ApplyFilters(mFilters, context);
   if (context.mCountedAgainstLimit && answer.mOutcome == Outcome::kNotRun) {
-    mDependencies.mGate.GiveBack(context.mWorkspace->mName);
+    mDependencies.mGate.Refund(context.mWorkspace->mName);
   }
   mDependencies.mMetrics.CountRequest(answer.mOutcome);
   if (answer.mOutcome == Outcome::kRun) {
@@ -178,9 +179,9 @@
   if (aAnswer.mRetryAfter) {
     headers.push_back(
       { "Retry-After",
-        RetryAfterSeconds(*aAnswer.mRetryAfter, mNames.mTellOutcome) });
+        RetryAfterSeconds(*aAnswer.mRetryAfter, mNames.mReportOutcome) });
   }
-  if (!mNames.mTellOutcome) {
+  if (!mNames.mReportOutcome) {
     return reply;
   }
   headers.push_back({ hop::kOutcome, std::string(ToText(aAnswer.mOutcome)) });
--- a/packages/entry/src/EntryView.cpp
+++ b/packages/entry/src/EntryView.cpp
@@ -18,28 +18,28 @@
 // Weight of the latest answer in the moving average of a service's error rate.
 constexpr double kErrorRateSmoothing = 0.1;
 // A hedged attempt costs a round trip and does not pay for faster answers.
-constexpr Micros kMinRaceDelay{ 50'000 };
+constexpr Micros kMinHedgeDelay{ 50'000 };
 // Divides the total time of a request while no home has reported the latency of
 // its route: callers' deadlines are several times the usual latency.
-constexpr int kRaceUnknownPart = 4;
+constexpr int kHedgeUnknownPart = 4;
 // The target of 4,900 routes, spread over the shards, with room for replaced
 // routes, which are never removed.
 constexpr std::size_t kMaxRoutesInShard = 1000;
 
 // The standing of a server after a rejection; null when the rejection says
 // nothing about the next request.
-std::optional<Standing>
-StandingAfter(Refusal aRefusal)
+std::optional<Eligibility>
+EligibilityAfter(RejectReason aRejectReason)
 {
-  switch (aRefusal) {
-    case Refusal::kLeaving:
-    case Refusal::kEjected:
-    case Refusal::kNoServer:
-      return Standing::kClosed;
-    case Refusal::kOverloaded:
-    case Refusal::kServerBusy:
-    case Refusal::kUnreachable:
-      return Standing::kAvoid;
+  switch (aRejectReason) {
+    case RejectReason::kLeaving:
+    case RejectReason::kEjected:
+    case RejectReason::kNoServer:
+      return Eligibility::kClosed;
+    case RejectReason::kOverloaded:
+    case RejectReason::kServerBusy:
+    case RejectReason::kUnreachable:
+      return Eligibility::kAvoid;
     default:
       return std::nullopt;
   }
@@ -101,11 +101,11 @@
     return mSubsetEntry;
   }
   SubsetEntry entry{ .mEntries = 0 };
-  const auto own = RingPlace(mBox.Value());
+  const auto own = RingPosition(mBox.Value());
   for (const auto& [name, box] : aSnapshot.mBoxes) {
     if (box.mZone == mZone) {
       ++entry.mEntries;
-      entry.mRank += RingPlace(name.Value()) < own ? 1 : 0;
+      entry.mRank += RingPosition(name.Value()) < own ? 1 : 0;
     }
   }
   mSubsetEntry = entry;
@@ -136,7 +136,7 @@
       const std::lock_guard lock(shard.mMutex);
       resolved.mBoxView = &shard.mBoxes[server.mBox];
     }
-    servers.push_back({ .mPlace = RingPlace(server.mName.Value()),
+    servers.push_back({ .mPlace = RingPosition(server.mName.Value()),
                         .mSameZone = resolved.mSameZone });
     resolvedServers.push_back(resolved);
   }
@@ -182,30 +182,32 @@
 Candidate
 EntryView::MakeCandidate(const ResolvedServer& aResolved,
                          const AttemptPlan& aPlan,
-                         bool aMayFail,
+                         bool aCanFailOver,
                          TimePoint aNow) const
 {
   Candidate candidate{ .mSlots = aResolved.mServer->mSlots };
   if (aResolved.mBox == nullptr || !aPlan.MayUse(aResolved.mServer->mName)) {
-    candidate.mStanding = Standing::kTried;
+    candidate.mEligibility = Eligibility::kTried;
     return candidate;
   }
   candidate.mSameZone = aResolved.mSameZone;
   if (aResolved.mBox->mState == BoxState::kLeaving) {
-    candidate.mStanding = Standing::kClosed;
+    candidate.mEligibility = Eligibility::kClosed;
   } else if (PathAvoided(aResolved, aNow)) {
-    candidate.mStanding = Standing::kUnreachable;
+    candidate.mEligibility = Eligibility::kUnreachable;
   }
   const auto& view = *aResolved.mView;
   candidate.mInFlight = view.mInFlight;
   candidate.mReportedLoad = DecayedLoad(view.mLoad, aNow - view.mLoadAt);
-  const bool trial = aMayFail && aNow >= view.mNoTrialUntil;
+  const bool trial = aCanFailOver && aNow >= view.mNoTrialUntil;
   candidate.mTrialDue = trial && aNow < view.mDemotedUntil;
   if (!trial && !aPlan.LastResort() && aNow < view.mDemotedUntil) {
-    candidate.mStanding = std::max(candidate.mStanding, Standing::kDemoted);
+    candidate.mEligibility =
+      std::max(candidate.mEligibility, Eligibility::kDemoted);
   }
-  if (aNow < view.mStandingUntil) {
-    candidate.mStanding = std::max(candidate.mStanding, view.mStanding);
+  if (aNow < view.mEligibilityUntil) {
+    candidate.mEligibility =
+      std::max(candidate.mEligibility, view.mEligibility);
   }
   return candidate;
 }
@@ -215,7 +217,7 @@
                          const ServerOrder& aOrder,
                          std::size_t aMaxCount,
                          const AttemptPlan& aPlan,
-                         bool aMayFail,
+                         bool aCanFailOver,
                          TimePoint aNow) const
 {
   const auto begin = aCandidates.size();
@@ -227,7 +229,7 @@
   const std::lock_guard lock(shard.mMutex);
   for (auto i = begin; i < end; ++i) {
     aCandidates.push_back(
-      MakeCandidate(aOrder.mResolvedServers[i], aPlan, aMayFail, aNow));
+      MakeCandidate(aOrder.mResolvedServers[i], aPlan, aCanFailOver, aNow));
   }
 }
 
@@ -250,26 +252,27 @@
                   *order,
                   order->mSubsetSize,
                   aPlan,
-                  aConstraints.mMayFail,
+                  aConstraints.mCanFailOver,
                   aNow);
     chosen = ChooseTrial(candidates, Random());
     if (!chosen) {
       chosen = ChooseServer(candidates, mOptions, Random(), Random());
     }
-    open = chosen && candidates[*chosen].mStanding == Standing::kOpen;
+    open = chosen && candidates[*chosen].mEligibility == Eligibility::kOpen;
   } while (!open && candidates.size() < order->mResolvedServers.size());
   if (aConstraints.mOpenOnly && !open) {
     return {};
   }
   const bool demotedLeft =
     std::any_of(candidates.begin(), candidates.end(), [](const auto& aEach) {
-      return aEach.mStanding == Standing::kDemoted;
+      return aEach.mEligibility == Eligibility::kDemoted;
     });
   if (!chosen && !demotedLeft && aPlan.Attempts() == 0) {
     // Every server is unusable by this view, which may be outdated: try one,
     // and let its home decide.
     for (auto& candidate : candidates) {
-      candidate.mStanding = std::min(candidate.mStanding, Standing::kAvoid);
+      candidate.mEligibility =
+        std::min(candidate.mEligibility, Eligibility::kAvoid);
     }
     chosen = ChooseServer(candidates, mOptions, Random(), Random());
   }
@@ -312,14 +315,14 @@
 }
 
 void
-EntryView::OnRefused(const BackendServerSpec& aServer,
-                     Refusal aRefusal,
-                     Millis aRetryAfter,
-                     bool aMayFail,
-                     TimePoint aNow)
+EntryView::OnRejected(const BackendServerSpec& aServer,
+                      RejectReason aRejectReason,
+                      Millis aRetryAfter,
+                      bool aCanFailOver,
+                      TimePoint aNow)
 {
-  const auto standing = StandingAfter(aRefusal);
-  if (!standing && aRefusal != Refusal::kDemoted) {
+  const auto standing = EligibilityAfter(aRejectReason);
+  if (!standing && aRejectReason != RejectReason::kDemoted) {
     return;
   }
   auto& shard = ShardOf(aServer.mService);
@@ -331,17 +334,17 @@
   const auto until = aNow + std::clamp(aRetryAfter, kMinAvoid, kMaxAvoid);
   if (!standing) {
     view->mDemotedUntil = until;
-    if (aMayFail) {
+    if (aCanFailOver) {
       view->mNoTrialUntil = until; // its home has enough trial requests
     }
     return;
   }
-  view->mStanding = *standing;
-  view->mStandingUntil = until;
+  view->mEligibility = *standing;
+  view->mEligibilityUntil = until;
 }
 
 void
-EntryView::OnNews(const ServerStateUpdate& aUpdate, TimePoint aNow)
+EntryView::OnServerUpdate(const ServerStateUpdate& aUpdate, TimePoint aNow)
 {
   auto& shard = ShardOf(aUpdate.mService);
   const std::lock_guard lock(shard.mMutex);
@@ -386,7 +389,7 @@
 }
 
 HomeState
-EntryView::LifeOf(const BoxName& aBox) const
+EntryView::HomeStateOf(const BoxName& aBox) const
 {
   const auto& shard = ShardOf(aBox);
   const std::lock_guard lock(shard.mMutex);
@@ -395,7 +398,7 @@
 }
 
 void
-EntryView::SetLife(const BoxName& aBox, const HomeState& aState)
+EntryView::SetHomeState(const BoxName& aBox, const HomeState& aState)
 {
   auto& shard = ShardOf(aBox);
   const std::lock_guard lock(shard.mMutex);
@@ -448,16 +451,16 @@
 }
 
 Micros
-EntryView::RaceDelay(const ServiceName& aService,
-                     const std::string& aRoute,
-                     Micros aTotalTime) const
+EntryView::HedgeDelay(const ServiceName& aService,
+                      const std::string& aRoute,
+                      Micros aTotalTime) const
 {
   auto& shard = ShardOf(aService);
   const std::lock_guard lock(shard.mMutex);
   const auto it = shard.mLatencyP90s.find(aRoute);
-  return std::max<Micros>(kMinRaceDelay,
+  return std::max<Micros>(kMinHedgeDelay,
                           it == shard.mLatencyP90s.end()
-                            ? aTotalTime / kRaceUnknownPart
+                            ? aTotalTime / kHedgeUnknownPart
                             : it->second);
 }
 
@@ -469,9 +472,8 @@
     const std::lock_guard lock(shard.mMutex);
     for (const auto& [name, view] : shard.mServers) {
       text += name.Value() + ": in_flight=" + std::to_string(view.mInFlight) +
-              " load=" + std::to_string(view.mLoad) +
-              " standing=" + std::to_string(static_cast<int>(view.mStanding)) +
-              "\n";
+              " load=" + std::to_string(view.mLoad) + " standing=" +
+              std::to_string(static_cast<int>(view.mEligibility)) + "\n";
     }
   }
   return text;
--- a/packages/entry/src/WorkspaceGate.cpp
+++ b/packages/entry/src/WorkspaceGate.cpp
@@ -19,10 +19,10 @@
 }
 
 void
-WorkspaceGate::GiveBack(const WorkspaceName& aWorkspace)
+WorkspaceGate::Refund(const WorkspaceName& aWorkspace)
 {
   const std::lock_guard lock(mMutex);
-  mGate.GiveBack(aWorkspace);
+  mGate.Refund(aWorkspace);
 }
 
 std::optional<UseReport>
--- a/packages/entry/tests/EntryViewTest.cpp
+++ b/packages/entry/tests/EntryViewTest.cpp
@@ -38,7 +38,7 @@
     const auto* server =
       aView
         .Choose(
-          aSnapshot, service, AttemptPlan(true), { .mMayFail = true }, aNow)
+          aSnapshot, service, AttemptPlan(true), { .mCanFailOver = true }, aNow)
         .mServer;
     count += server == &service.mServers[0] ? 1 : 0;
   }
@@ -73,12 +73,12 @@
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
   const BoxName box("a");
-  view.SetLife(box, { .mIncarnation = Incarnation(1) });
+  view.SetHomeState(box, { .mIncarnation = Incarnation(1) });
   view.OnPathFailure(box, kStart);
   view.SetBoxUsable(box, false);
-  view.SetLife(box, { .mIncarnation = Incarnation(1) });
+  view.SetHomeState(box, { .mIncarnation = Incarnation(1) });
   CHECK(CountFirst(view, snapshot, kStart) == 0);
-  view.SetLife(box, { .mIncarnation = Incarnation(2) });
+  view.SetHomeState(box, { .mIncarnation = Incarnation(2) });
   CHECK(CountFirst(view, snapshot, kStart) > 0);
 }
 
@@ -91,7 +91,7 @@
                             .mService = ServiceName("ledger"),
                             .mDemoted = true,
                             .mRetryAfter = Millis(4000) };
-  view.OnNews(update, kStart);
+  view.OnServerUpdate(update, kStart);
   const auto& service = snapshot.mServices.begin()->second;
   const auto choose = [&](TimePoint aNow) {
     return view.Choose(snapshot, service, AttemptPlan(false), {}, aNow)
@@ -101,7 +101,7 @@
     CHECK(choose(kStart + Millis(3900)) == BackendServerName("b"));
   }
   update.mDemoted = false;
-  view.OnNews(update, kStart + Millis(1000));
+  view.OnServerUpdate(update, kStart + Millis(1000));
   CHECK(CountFirst(view, snapshot, kStart + Millis(1000)) > kDraws / 3);
 }
 
@@ -109,11 +109,11 @@
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
-  view.OnNews({ .mServer = ServerIncarnation(BackendServerName("a")),
-                .mService = ServiceName("ledger"),
-                .mDemoted = true,
-                .mRetryAfter = Millis(60'000) },
-              kStart);
+  view.OnServerUpdate({ .mServer = ServerIncarnation(BackendServerName("a")),
+                        .mService = ServiceName("ledger"),
+                        .mDemoted = true,
+                        .mRetryAfter = Millis(60'000) },
+                      kStart);
   CHECK(CountFirst(view, snapshot, kStart + Millis(5000)) > kDraws / 3);
 }
 
@@ -122,17 +122,17 @@
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
   const Millis retryAfter{ 4000 };
-  view.OnNews({ .mServer = ServerIncarnation(BackendServerName("a")),
-                .mService = ServiceName("ledger"),
-                .mDemoted = true,
-                .mRetryAfter = retryAfter },
-              kStart);
+  view.OnServerUpdate({ .mServer = ServerIncarnation(BackendServerName("a")),
+                        .mService = ServiceName("ledger"),
+                        .mDemoted = true,
+                        .mRetryAfter = retryAfter },
+                      kStart);
   // The trial is due within the retry time; then all such requests are trials.
   const auto due = kStart + retryAfter - Millis(1);
   CHECK(CountFirst(view, snapshot, due) == kDraws);
   // The home rejected a trial: no other one before the retry time is over.
   const auto& first = snapshot.mServices.begin()->second.mServers[0];
-  view.OnRefused(first, Refusal::kDemoted, retryAfter, true, due);
+  view.OnRejected(first, RejectReason::kDemoted, retryAfter, true, due);
   CHECK(CountFirst(view, snapshot, due + Millis(1000)) == 0);
 }
 
@@ -194,11 +194,11 @@
     CHECK_FALSE(chosen.empty());
     for (const auto& server : chosen) {
       CHECK_FALSE(demoted.contains(server));
-      view.OnNews({ .mServer = ServerIncarnation(server),
-                    .mService = ServiceName("ledger"),
-                    .mDemoted = true,
-                    .mRetryAfter = Millis(4000) },
-                  kStart);
+      view.OnServerUpdate({ .mServer = ServerIncarnation(server),
+                            .mService = ServiceName("ledger"),
+                            .mDemoted = true,
+                            .mRetryAfter = Millis(4000) },
+                          kStart);
       demoted.insert(server);
     }
   }
@@ -211,12 +211,13 @@
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
   auto& server = snapshot.mServices.begin()->second.mServers[0];
   const auto closeIt = [&](const BackendServerSpec& aServer) {
-    view.OnRefused(aServer, Refusal::kLeaving, Millis(5000), false, kStart);
-    view.OnNews({ .mServer = aServer.Incarnation(),
-                  .mService = aServer.mService,
-                  .mDemoted = true,
-                  .mRetryAfter = Millis(5000) },
-                kStart);
+    view.OnRejected(
+      aServer, RejectReason::kLeaving, Millis(5000), false, kStart);
+    view.OnServerUpdate({ .mServer = aServer.Incarnation(),
+                          .mService = aServer.mService,
+                          .mDemoted = true,
+                          .mRetryAfter = Millis(5000) },
+                        kStart);
   };
   server.mStartMs = 1000;
   const auto first = server;
--- a/packages/home/include/porttiller/home/Home.h
+++ b/packages/home/include/porttiller/home/Home.h
@@ -24,7 +24,7 @@
        Incarnation aIncarnation,
        LocalServerOptions aServerOptions,
        RetrySettings aRetries,
-       const Cutoff& aCutoff);
+       const ShutdownDeadline& aShutdownDeadline);
 
   Incarnation OwnIncarnation() const { return mIncarnation; }
 
@@ -32,9 +32,10 @@
   HomeAnswer Handle(const HomeRequest& aRequest);
 
   // Ensures that an attempt which has not started never starts. Both return
-  // kForgotten when aNamed is not this incarnation.
-  AttemptReport Revoke(const AttemptId& aAttempt, Incarnation aNamed);
-  AttemptReport Query(const AttemptId& aAttempt, Incarnation aNamed) const;
+  // kForgotten when aHomeIncarnation is not this incarnation.
+  AttemptReport Revoke(const AttemptId& aAttempt, Incarnation aHomeIncarnation);
+  AttemptReport Query(const AttemptId& aAttempt,
+                      Incarnation aHomeIncarnation) const;
 
   // Takes the servers of this box from the configuration. Unchanged servers
   // keep their state; a server that was restarted is a new one.
@@ -71,7 +72,7 @@
   const Incarnation mIncarnation;
   const LocalServerOptions mServerOptions; // mDetection is set per service
   const RetrySettings mRetries;
-  const Cutoff& mCutoff;
+  const ShutdownDeadline& mShutdownDeadline;
   mutable std::array<Shard, kShards> mShards;
   mutable std::mutex mServersMutex;
   std::map<BackendServerName, LocalServerPtr> mServers;
--- a/packages/home/include/porttiller/home/LocalServer.h
+++ b/packages/home/include/porttiller/home/LocalServer.h
@@ -9,8 +9,8 @@
 #include "porttiller/home/ServerBreaker.h"
 #include "porttiller/home/ServerCall.h"
 #include "porttiller/home/ServerStateUpdate.h"
-#include "porttiller/hop/Cutoff.h"
 #include "porttiller/hop/HomeTypes.h"
+#include "porttiller/hop/ShutdownDeadline.h"
 #include "porttiller/policy/EjectionMachine.h"
 #include "porttiller/policy/RetryBudget.h"
 #include "porttiller/policy/RouteTimes.h"
@@ -41,7 +41,7 @@
 public:
   LocalServer(const BackendServerSpec& aSpec,
               LocalServerOptions aOptions,
-              const Cutoff& aCutoff);
+              const ShutdownDeadline& aShutdownDeadline);
 
   const BackendServerSpec& Spec() const { return mSpec; }
 
@@ -63,7 +63,7 @@
 
   // Returns an update for the boxes that send here, once for each lasting
   // change of the breaker.
-  std::optional<ServerStateUpdate> TakeNews(TimePoint aNow);
+  std::optional<ServerStateUpdate> TakeStateUpdate(TimePoint aNow);
 
   // Forwarded to EjectionMachine.
   std::vector<EjectionAction> Tick(TimePoint aNow);
@@ -97,7 +97,7 @@
     AttemptId mAttempt;
     bool mLastResort = false;
     WaitState mState = WaitState::kWaiting;
-    Refusal mRefusal = Refusal::kNone; // with kRejected
+    RejectReason mRejectReason = RejectReason::kNone; // with kRejected
     Millis mRetryAfter{ 0 };
     std::condition_variable mChanged; // of this waiter alone
   };
@@ -117,18 +117,20 @@
                       Micros aTime);
   void FreeSlot(std::optional<Micros> aServiceTime);
   void SetWaitState(Ticket aTicket, WaitState aState);
-  void RejectWaiter(Ticket aTicket, Refusal aRefusal, Millis aRetryAfter);
-  void RejectWaiters(Refusal aRefusal, Millis aRetryAfter);
+  void RejectWaiter(Ticket aTicket,
+                    RejectReason aRejectReason,
+                    Millis aRetryAfter);
+  void RejectWaiters(RejectReason aRejectReason, Millis aRetryAfter);
   std::optional<HomeAnswer> RejectIfRetriesSpent(
     const HomeRequest& aRequest) const;
   void OnStarted(const HomeRequest& aRequest);
   bool MayBeInterrupted(const HomeRequest& aRequest) const;
   double LoadLocked() const;
-  HomeAnswer RejectLocked(Refusal aRefusal, Millis aRetryAfter) const;
+  HomeAnswer RejectLocked(RejectReason aRejectReason, Millis aRetryAfter) const;
 
   const BackendServerSpec mSpec;
   const LocalServerOptions mOptions;
-  const Cutoff& mCutoff;
+  const ShutdownDeadline& mShutdownDeadline;
   ServerCall mCall;
   mutable std::mutex mMutex;
   SlotQueue mQueue;
--- a/packages/home/include/porttiller/home/ServerBreaker.h
+++ b/packages/home/include/porttiller/home/ServerBreaker.h
@@ -56,7 +56,8 @@
   const RouteTimes& mTimes;
   CircuitBreaker mBreaker;
   SilenceDetector mSilence;
-  double mUsualErrors = 0.0; // running mean of the service's rate, from entries
+  double mServiceErrorRate =
+    0.0; // running mean of the service's rate, from entries
   bool mOpenedBySilence = false; // whether silence opened the breaker
 };
 
--- a/packages/home/include/porttiller/home/ServerCall.h
+++ b/packages/home/include/porttiller/home/ServerCall.h
@@ -4,8 +4,8 @@
 
 #include "porttiller/config/EdgeHeaders.h"
 #include "porttiller/config/Resources.h"
-#include "porttiller/hop/Cutoff.h"
 #include "porttiller/hop/HomeTypes.h"
+#include "porttiller/hop/ShutdownDeadline.h"
 #include "porttiller/http/HttpPool.h"
 
 namespace porttiller {
@@ -16,7 +16,7 @@
 public:
   ServerCall(const BackendServerSpec& aSpec,
              const EdgeHeaders& aNames,
-             const Cutoff& aCutoff);
+             const ShutdownDeadline& aShutdownDeadline);
 
   // Returns kNotRun only when nothing was sent, or when the server reports that
   // it did not run the request. The refusal is kNoServer when another server
@@ -31,7 +31,7 @@
 
   const BackendServerName mServer;
   const EdgeHeaders mNames;
-  const Cutoff& mCutoff;
+  const ShutdownDeadline& mShutdownDeadline;
   HttpPool mPool;
 };
 
--- a/packages/home/src/Home.cpp
+++ b/packages/home/src/Home.cpp
@@ -23,22 +23,22 @@
 }
 
 HomeAnswer
-Reject(Refusal aRefusal, Millis aRetryAfter)
+Reject(RejectReason aRejectReason, Millis aRetryAfter)
 {
   return { .mOutcome = Outcome::kNotRun,
-           .mRefusal = aRefusal,
+           .mRejectReason = aRejectReason,
            .mRetryAfter = aRetryAfter };
 }
 
 // Rejects an attempt that was, or may have been, admitted before. It must not
 // run again, and the outcome of the first arrival is unknown here.
 HomeAnswer
-RejectDuplicate(Refusal aRefusal)
+RejectDuplicate(RejectReason aRejectReason)
 {
   return { .mOutcome = Outcome::kUnknown,
-           .mRefusal = aRefusal,
+           .mRejectReason = aRejectReason,
            .mRetryAfter = kDuplicateRetryAfter,
-           .mReason = std::string(ToText(aRefusal)) };
+           .mReason = std::string(ToText(aRejectReason)) };
 }
 
 RecordedAnswerPtr
@@ -61,12 +61,12 @@
            Incarnation aIncarnation,
            LocalServerOptions aServerOptions,
            RetrySettings aRetries,
-           const Cutoff& aCutoff)
+           const ShutdownDeadline& aShutdownDeadline)
   : mBox(std::move(aBox))
   , mIncarnation(aIncarnation)
   , mServerOptions(std::move(aServerOptions))
   , mRetries(aRetries)
-  , mCutoff(aCutoff)
+  , mShutdownDeadline(aShutdownDeadline)
 {
 }
 
@@ -81,7 +81,7 @@
 Home::Handle(const HomeRequest& aRequest)
 {
   if (aRequest.mHomeIncarnation != mIncarnation) {
-    return Reject(Refusal::kIncarnation, Millis(0));
+    return Reject(RejectReason::kIncarnation, Millis(0));
   }
   auto& shard = ShardOf(aRequest.mAttempt);
   AdmitVerdict verdict{};
@@ -93,13 +93,13 @@
     case AdmitVerdict::kAdmitted:
       return RunAdmitted(aRequest, shard);
     case AdmitVerdict::kRevoked:
-      return Reject(Refusal::kRevoked, Millis(0));
+      return Reject(RejectReason::kRevoked, Millis(0));
     case AdmitVerdict::kDuplicate:
-      return RejectDuplicate(Refusal::kDuplicate);
+      return RejectDuplicate(RejectReason::kDuplicate);
     case AdmitVerdict::kStale:
       break;
   }
-  return RejectDuplicate(Refusal::kStale);
+  return RejectDuplicate(RejectReason::kStale);
 }
 
 HomeAnswer
@@ -108,9 +108,9 @@
   const auto server = Find(aRequest.mServer);
   HomeAnswer answer;
   if (aRequest.mDeadline <= Now() || IsCancelled(aRequest)) {
-    answer = Reject(Refusal::kExpired, Millis(0));
+    answer = Reject(RejectReason::kExpired, Millis(0));
   } else if (!server) {
-    answer = Reject(Refusal::kNoServer, kNoServerRetryAfter);
+    answer = Reject(RejectReason::kNoServer, kNoServerRetryAfter);
   } else {
     answer = server->Run(aRequest);
   }
@@ -126,9 +126,9 @@
 }
 
 AttemptReport
-Home::Revoke(const AttemptId& aAttempt, Incarnation aNamed)
+Home::Revoke(const AttemptId& aAttempt, Incarnation aHomeIncarnation)
 {
-  if (aNamed != mIncarnation) {
+  if (aHomeIncarnation != mIncarnation) {
     return {};
   }
   auto& shard = ShardOf(aAttempt);
@@ -146,13 +146,13 @@
       break;
     }
   }
-  return Query(aAttempt, aNamed);
+  return Query(aAttempt, aHomeIncarnation);
 }
 
 AttemptReport
-Home::Query(const AttemptId& aAttempt, Incarnation aNamed) const
+Home::Query(const AttemptId& aAttempt, Incarnation aHomeIncarnation) const
 {
-  if (aNamed != mIncarnation) {
+  if (aHomeIncarnation != mIncarnation) {
     return {};
   }
   auto& shard = ShardOf(aAttempt);
@@ -170,7 +170,8 @@
   const RetryBound own{ .mShare = spec.mRetryPercent / kPercent,
                         .mBurst = static_cast<double>(spec.mRetryBurst),
                         .mWindow = mRetries.mWindow };
-  return HomeShareOf(Tighter(UsedOf(fleet), own), aService.mServers.size());
+  return HomeShareOf(Tighter(UsablePartOf(fleet), own),
+                     aService.mServers.size());
 }
 
 void
@@ -221,8 +222,9 @@
   const bool same = it != mServers.end() && !returned &&
                     SameServer(it->second->Spec(), aSpec) &&
                     it->second->Options() == aOptions;
-  return same ? it->second
-              : std::make_shared<LocalServer>(aSpec, aOptions, mCutoff);
+  return same
+           ? it->second
+           : std::make_shared<LocalServer>(aSpec, aOptions, mShutdownDeadline);
 }
 
 std::set<ServiceName>
--- a/packages/home/src/HomeServer.cpp
+++ b/packages/home/src/HomeServer.cpp
@@ -68,8 +68,7 @@
 {
   auto request = DecodeHomeRequest(std::move(aCall.mHttp), aCall.mArrival);
   if (!request) {
-    return { .mAnswer = { .mStatus = kBadRequest,
-                          .mBody = "missing or malformed attempt header\n" },
+    return { .mAnswer = { .mStatus = kBadRequest, .mBody = "not an attempt\n" },
              .mClose = true };
   }
   if (!mNames.mRequestId.empty()) {
--- a/packages/home/src/LocalServer.cpp
+++ b/packages/home/src/LocalServer.cpp
@@ -12,7 +12,7 @@
 
 constexpr Millis kLeavingRetryAfter{ 1000 };
 constexpr Millis kNoRetriesRetryAfter{ 500 };
-constexpr int kServerErrors = 500;
+constexpr int kFirstServerErrorStatus = 500;
 // How long a change of the breaker must last before it is reported. Four in
 // five silence alarms end within 0.3 s, half of them within 84 ms, when the
 // missing answer arrives; until the report the home itself rejects requests.
@@ -46,11 +46,11 @@
 
 LocalServer::LocalServer(const BackendServerSpec& aSpec,
                          LocalServerOptions aOptions,
-                         const Cutoff& aCutoff)
+                         const ShutdownDeadline& aShutdownDeadline)
   : mSpec(aSpec)
   , mOptions(std::move(aOptions))
-  , mCutoff(aCutoff)
-  , mCall(aSpec, mOptions.mHeaders, aCutoff)
+  , mShutdownDeadline(aShutdownDeadline)
+  , mCall(aSpec, mOptions.mHeaders, aShutdownDeadline)
   , mQueue(QueueOptionsFor(aSpec, mOptions.mFailingServers))
   , mMachine(OptionsFor(mOptions.mDetection), Now())
   , mBreaker(aSpec.Incarnation(), mRouteTimes)
@@ -85,7 +85,7 @@
   const std::lock_guard lock(mMutex);
   mLeaving = aLeaving;
   if (mLeaving) {
-    RejectWaiters(Refusal::kLeaving, kLeavingRetryAfter);
+    RejectWaiters(RejectReason::kLeaving, kLeavingRetryAfter);
   }
 }
 
@@ -93,23 +93,26 @@
 // that it sends no more, and a server that hangs frees slots only by timeouts.
 // Another server may still accept the rejected requests.
 void
-LocalServer::RejectWaiters(Refusal aRefusal, Millis aRetryAfter)
+LocalServer::RejectWaiters(RejectReason aRejectReason, Millis aRetryAfter)
 {
   for (const auto& [ticket, waiter] : mWaiters) {
-    const bool stays = aRefusal == Refusal::kDemoted && waiter.mLastResort;
+    const bool stays =
+      aRejectReason == RejectReason::kDemoted && waiter.mLastResort;
     if (!stays && waiter.mState == WaitState::kWaiting &&
         mQueue.Cancel(ticket)) {
-      RejectWaiter(ticket, aRefusal, aRetryAfter);
+      RejectWaiter(ticket, aRejectReason, aRetryAfter);
     }
   }
 }
 
 // The waiter must have been removed from the queue before.
 void
-LocalServer::RejectWaiter(Ticket aTicket, Refusal aRefusal, Millis aRetryAfter)
+LocalServer::RejectWaiter(Ticket aTicket,
+                          RejectReason aRejectReason,
+                          Millis aRetryAfter)
 {
   auto& waiter = mWaiters[aTicket];
-  waiter.mRefusal = aRefusal;
+  waiter.mRejectReason = aRejectReason;
   waiter.mRetryAfter = aRetryAfter;
   SetWaitState(aTicket, WaitState::kRejected);
 }
@@ -123,10 +126,10 @@
 }
 
 HomeAnswer
-LocalServer::RejectLocked(Refusal aRefusal, Millis aRetryAfter) const
+LocalServer::RejectLocked(RejectReason aRejectReason, Millis aRetryAfter) const
 {
   return { .mOutcome = Outcome::kNotRun,
-           .mRefusal = aRefusal,
+           .mRejectReason = aRejectReason,
            .mRetryAfter = aRetryAfter,
            .mLoad = LoadLocked() };
 }
@@ -148,7 +151,7 @@
   FreeSlot(ran ? std::optional<Micros>(time) : std::nullopt);
   const std::lock_guard lock(mMutex);
   answer.mLoad = LoadLocked();
-  answer.mUsualTime = mRouteTimes.UsualTime(aRequest.mRoute);
+  answer.mLatencyP90 = mRouteTimes.LatencyP90(aRequest.mRoute);
   return answer;
 }
 
@@ -157,17 +160,17 @@
 LocalServer::OnServerRejection(HomeAnswer& aAnswer)
 {
   const std::lock_guard lock(mMutex);
-  switch (aAnswer.mRefusal) {
-    case Refusal::kNoServer:
+  switch (aAnswer.mRejectReason) {
+    case RejectReason::kNoServer:
       mReplaced = true;
       LogLine(LogLevel::kWarning, "server_replaced")
         .With("server", mSpec.Incarnation().ToString())
         .With("address", mSpec.mAddress);
       break;
-    case Refusal::kLeaving:
+    case RejectReason::kLeaving:
       mServerLeavingUntil = Now() + aAnswer.mRetryAfter;
       break;
-    case Refusal::kServerBusy:
+    case RejectReason::kServerBusy:
       aAnswer.mRetryAfter = mQueue.ExpectedWait();
       break;
     default:
@@ -184,8 +187,8 @@
                             Micros aTime)
 {
   const std::lock_guard lock(mMutex);
-  const bool answered =
-    aAnswer.mOutcome == Outcome::kRun && aAnswer.mHttp.mStatus < kServerErrors;
+  const bool answered = aAnswer.mOutcome == Outcome::kRun &&
+                        aAnswer.mHttp.mStatus < kFirstServerErrorStatus;
   if (answered) {
     mRouteTimes.Observe(aRequest.mRoute, aTime);
   }
@@ -197,17 +200,18 @@
   evidence.mClass =
     static_cast<std::uint32_t>(std::hash<std::string>{}(aRequest.mRoute));
   if (aAnswer.mOutcome == Outcome::kRun) {
-    evidence.mFailed = aAnswer.mHttp.mStatus >= kServerErrors;
+    evidence.mFailed = aAnswer.mHttp.mStatus >= kFirstServerErrorStatus;
   } else if (aAnswer.mReason == kTimeoutReason) {
-    const bool conclusive = mMachine.Evidences().IsSlow(aTime) ||
+    const bool conclusive = mMachine.HealthDetector().IsSlow(aTime) ||
                             aTime >= Micros(kMinTimeoutEvidence);
     if (!conclusive) {
       return;
     }
     evidence.mFailed = true;
-  } else if (aAnswer.mRefusal == Refusal::kOverloaded ||
-             aAnswer.mRefusal == Refusal::kServerBusy ||
-             aAnswer.mRefusal == Refusal::kLeaving || IsCancelled(aRequest)) {
+  } else if (aAnswer.mRejectReason == RejectReason::kOverloaded ||
+             aAnswer.mRejectReason == RejectReason::kServerBusy ||
+             aAnswer.mRejectReason == RejectReason::kLeaving ||
+             IsCancelled(aRequest)) {
     return;
   } else {
     evidence.mFailed = true;
@@ -282,7 +286,7 @@
 }
 
 std::optional<ServerStateUpdate>
-LocalServer::TakeNews(TimePoint aNow)
+LocalServer::TakeStateUpdate(TimePoint aNow)
 {
   const std::lock_guard lock(mMutex);
   const bool demoted = mBreaker.IsDemoted(aNow);
@@ -297,7 +301,7 @@
   mUnreportedSince.reset();
   mReportedDemoted = demoted;
   if (demoted) {
-    RejectWaiters(Refusal::kDemoted, mBreaker.RetryAfter(aNow));
+    RejectWaiters(RejectReason::kDemoted, mBreaker.RetryAfter(aNow));
   }
   return ServerStateUpdate{ .mServer = mSpec.Incarnation(),
                             .mService = mSpec.mService,
@@ -312,10 +316,10 @@
   std::unique_lock lock(mMutex);
   mSenders.OnRequest(aRequest.mAttempt.Box(), Now());
   if (mLeaving || Now() < mServerLeavingUntil) {
-    return RejectLocked(Refusal::kLeaving, kLeavingRetryAfter);
+    return RejectLocked(RejectReason::kLeaving, kLeavingRetryAfter);
   }
   if (mReplaced) {
-    return RejectLocked(Refusal::kNoServer, kLeavingRetryAfter);
+    return RejectLocked(RejectReason::kNoServer, kLeavingRetryAfter);
   }
   auto rejected = mOptions.mFailingServers == FailingServers::kBreak
                     ? RejectIfBroken(aRequest)
@@ -330,10 +334,11 @@
   const auto offer =
     mQueue.Offer(ticket, aRequest.mPriority, aRequest.mDeadline, Now());
   if (offer.mDisplaced) {
-    RejectWaiter(*offer.mDisplaced, Refusal::kOverloaded, offer.mRetryAfter);
+    RejectWaiter(
+      *offer.mDisplaced, RejectReason::kOverloaded, offer.mRetryAfter);
   }
   if (offer.mVerdict == OfferVerdict::kShed) {
-    return RejectLocked(Refusal::kOverloaded, offer.mRetryAfter);
+    return RejectLocked(RejectReason::kOverloaded, offer.mRetryAfter);
   }
   if (offer.mVerdict == OfferVerdict::kStart) {
     OnStarted(aRequest);
@@ -353,7 +358,7 @@
 LocalServer::OnStarted(const HomeRequest& aRequest)
 {
   mBreaker.OnStarted(aRequest, Now());
-  if (aRequest.mRepeat) {
+  if (aRequest.mIsRetry) {
     mRetries.Spend();
   } else {
     mRetries.OnFirstAttempt(Now());
@@ -363,10 +368,10 @@
 std::optional<HomeAnswer>
 LocalServer::RejectIfRetriesSpent(const HomeRequest& aRequest) const
 {
-  if (!aRequest.mRepeat || mRetries.Affords(1)) {
+  if (!aRequest.mIsRetry || mRetries.Affords(1)) {
     return std::nullopt;
   }
-  return RejectLocked(Refusal::kNoRetries, kNoRetriesRetryAfter);
+  return RejectLocked(RejectReason::kNoRetries, kNoRetriesRetryAfter);
 }
 
 void
@@ -381,14 +386,14 @@
 {
   const auto now = Now();
   if (MayBeInterrupted(aRequest)) {
-    return RejectLocked(Refusal::kDemoted, kLeavingRetryAfter);
+    return RejectLocked(RejectReason::kDemoted, kLeavingRetryAfter);
   }
   // A trial is likely to fail and to need a retry at another server.
   const bool retryAvailable = mRetries.Affords(1);
   if (mBreaker.Admit(aRequest, retryAvailable, now)) {
     return std::nullopt;
   }
-  return RejectLocked(Refusal::kDemoted, mBreaker.RetryAfter(now));
+  return RejectLocked(RejectReason::kDemoted, mBreaker.RetryAfter(now));
 }
 
 // A planned stop aborts requests that still run at its deadline. A request that
@@ -398,7 +403,7 @@
 LocalServer::MayBeInterrupted(const HomeRequest& aRequest) const
 {
   return !aRequest.mRepeatable && !aRequest.mLastResort &&
-         mCutoff.Limit(aRequest.mDeadline) < aRequest.mDeadline;
+         mShutdownDeadline.Limit(aRequest.mDeadline) < aRequest.mDeadline;
 }
 
 std::optional<HomeAnswer>
@@ -406,14 +411,14 @@
 {
   const auto now = Now();
   switch (mMachine.Gate(aRequest.mRepeatable, aRequest.mLastResort, now)) {
-    case GateVerdict::kAdmit:
+    case AdmissionVerdict::kAdmit:
       return std::nullopt;
-    case GateVerdict::kDemoted:
-      return RejectLocked(Refusal::kDemoted, mMachine.RetryAfter(now));
-    case GateVerdict::kEjected:
+    case AdmissionVerdict::kDemoted:
+      return RejectLocked(RejectReason::kDemoted, mMachine.RetryAfter(now));
+    case AdmissionVerdict::kEjected:
       break;
   }
-  return RejectLocked(Refusal::kEjected, mMachine.RetryAfter(now));
+  return RejectLocked(RejectReason::kEjected, mMachine.RetryAfter(now));
 }
 
 std::optional<HomeAnswer>
@@ -431,7 +436,7 @@
     });
     aLock.lock();
     const auto over = [&] { return waiter.mState != WaitState::kWaiting; };
-    mCutoff.WaitInSlices(
+    mShutdownDeadline.WaitInIntervals(
       mQueue.LatestStart(aRequest.mDeadline),
       [&] { return IsCancelled(aRequest); },
       [&](TimePoint aUntil) {
@@ -451,7 +456,7 @@
 {
   const auto it = mWaiters.find(aTicket);
   const auto state = it->second.mState;
-  const auto refusal = it->second.mRefusal;
+  const auto refusal = it->second.mRejectReason;
   const auto retryAfter = it->second.mRetryAfter;
   mWaiters.erase(it);
   switch (state) {
@@ -465,7 +470,7 @@
     case WaitState::kExpired:
       break;
   }
-  return RejectLocked(Refusal::kExpired, mQueue.ExpectedWait());
+  return RejectLocked(RejectReason::kExpired, mQueue.ExpectedWait());
 }
 
 void
--- a/packages/home/src/ServerBreaker.cpp
+++ b/packages/home/src/ServerBreaker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kServerErrors = 500;
+constexpr int kFirstServerErrorStatus = 500;
 // An abandoned trial shows that the server still hangs only if a smaller share
 // of the route's requests takes longer than the trial ran.
 constexpr double kMaxHangingSurvival = 0.3;
@@ -23,9 +23,9 @@
 bool
 IsInconclusive(const HomeAnswer& aAnswer)
 {
-  return aAnswer.mRefusal == Refusal::kServerBusy ||
-         aAnswer.mRefusal == Refusal::kOverloaded ||
-         aAnswer.mRefusal == Refusal::kLeaving;
+  return aAnswer.mRejectReason == RejectReason::kServerBusy ||
+         aAnswer.mRejectReason == RejectReason::kOverloaded ||
+         aAnswer.mRejectReason == RejectReason::kLeaving;
 }
 
 // True when nobody waits for the answer any more: the request timed out, or its
@@ -53,7 +53,7 @@
 {
   CheckSilence(aNow);
   return mBreaker.Admit(
-    aRequest.mMayFail && aRetryAvailable, aRequest.mLastResort, aNow);
+    aRequest.mCanFailOver && aRetryAvailable, aRequest.mLastResort, aNow);
 }
 
 bool
@@ -73,7 +73,8 @@
 ServerBreaker::OnStarted(const HomeRequest& aRequest, TimePoint aNow)
 {
   mSilence.OnStarted(aRequest.mAttempt, aRequest.mRoute, aNow);
-  mUsualErrors += kErrorRateWeight * (aRequest.mUsualErrors - mUsualErrors);
+  mServiceErrorRate +=
+    kErrorRateWeight * (aRequest.mServiceErrorRate - mServiceErrorRate);
 }
 
 void
@@ -110,7 +111,7 @@
   if (aAnswer.mOutcome == Outcome::kRun) {
     mSilence.OnAnswered(aRequest.mAttempt);
   } else if (WasAbandoned(aRequest, aAnswer)) {
-    mSilence.OnGivenUp(aRequest.mAttempt, aNow);
+    mSilence.OnAbandoned(aRequest.mAttempt, aNow);
   } else {
     mSilence.Forget(aRequest.mAttempt);
   }
@@ -132,8 +133,8 @@
     mOpenedBySilence = false;
     return mBreaker.OnFailure(aNow);
   }
-  if (aAnswer.mHttp.mStatus >= kServerErrors) {
-    return mBreaker.OnError(mUsualErrors, aNow);
+  if (aAnswer.mHttp.mStatus >= kFirstServerErrorStatus) {
+    return mBreaker.OnError(mServiceErrorRate, aNow);
   }
   const bool closed = mBreaker.OnSuccess(aNow - aTime);
   if (closed) {
@@ -152,7 +153,7 @@
   if (alarm && mBreaker.State() == BreakerState::kClosed) {
     mOpenedBySilence = true;
     mBreaker.OnFailure(aNow);
-    LogChange("cause", "silence", "requests unanswered for too long", aNow);
+    LogChange("cause", "silence", "no answer for long", aNow);
   } else if (!alarm && mOpenedBySilence) {
     mOpenedBySilence = false;
     mBreaker.Close();
--- a/packages/home/src/ServerCall.cpp
+++ b/packages/home/src/ServerCall.cpp
@@ -32,10 +32,10 @@
 
 ServerCall::ServerCall(const BackendServerSpec& aSpec,
                        const EdgeHeaders& aNames,
-                       const Cutoff& aCutoff)
+                       const ShutdownDeadline& aShutdownDeadline)
   : mServer(aSpec.mName)
   , mNames(aNames)
-  , mCutoff(aCutoff)
+  , mShutdownDeadline(aShutdownDeadline)
   , mPool({ .mAddress = aSpec.mAddress,
             .mMaxConnections = std::min(aSpec.mConnections, aSpec.mSlots),
             .mIdleClose = kIdleClose })
@@ -68,7 +68,8 @@
         begun.error() == ExchangeError::kNotSent) {
       const bool busy = begun.error() == ExchangeError::kBusy;
       return { .mOutcome = Outcome::kNotRun,
-               .mRefusal = busy ? Refusal::kOverloaded : Refusal::kUnreachable,
+               .mRejectReason =
+                 busy ? RejectReason::kOverloaded : RejectReason::kUnreachable,
                .mRetryAfter = kRetryAfter,
                .mReason = ToText(begun.error()) };
     }
@@ -79,16 +80,17 @@
   auto& exchange = **begun;
   exchange.CancelWith(CancellationOf(aRequest));
   const auto deadline =
-    aRequest.mDeadline + (Lingers(aRequest) ? kLateAnswerWait : Millis(0));
+    aRequest.mDeadline +
+    (WaitsPastDeadline(aRequest) ? kLateAnswerWait : Millis(0));
   const auto stop = [&] {
-    return IsCancelled(aRequest) || Now() >= mCutoff.Limit(deadline);
+    return IsCancelled(aRequest) || Now() >= mShutdownDeadline.Limit(deadline);
   };
   const auto& idName = mNames.mRequestId;
   const auto belongs = [&](const HttpAnswer& aAnswer) {
     const auto id = idName.empty() ? "" : HeaderValue(aAnswer.mHeaders, idName);
     return id.empty() || id == aRequest.mRequestId;
   };
-  const auto idleTime = exchange.Rested();
+  const auto idleTime = exchange.IdleTime();
   auto answer = exchange.ReadAnswer(deadline, stop, belongs);
   if (answer) {
     return ToHomeAnswer(aRequest, std::move(*answer));
@@ -143,14 +145,14 @@
 HomeAnswer
 ServerCall::RejectionOf(const HttpAnswer& aHttp)
 {
-  auto refusal = Refusal::kServerBusy;
+  auto refusal = RejectReason::kServerBusy;
   if (aHttp.mStatus == kMisdirectedRequest) {
-    refusal = Refusal::kNoServer;
+    refusal = RejectReason::kNoServer;
   } else if (HeaderValue(aHttp.mHeaders, hop::kReason) == kLeavingReason) {
-    refusal = Refusal::kLeaving;
+    refusal = RejectReason::kLeaving;
   }
   return { .mOutcome = Outcome::kNotRun,
-           .mRefusal = refusal,
+           .mRejectReason = refusal,
            .mRetryAfter = kRetryAfter };
 }
 
--- a/packages/home/tests/HomeTest.cpp
+++ b/packages/home/tests/HomeTest.cpp
@@ -26,8 +26,8 @@
 
 struct Fixture
 {
-  Cutoff mCutoff;
-  Home mHome{ BoxName("box"), Incarnation(1), {}, {}, mCutoff };
+  ShutdownDeadline mShutdownDeadline;
+  Home mHome{ BoxName("box"), Incarnation(1), {}, {}, mShutdownDeadline };
 
   bool IsLeaving() const
   {
--- a/packages/home/tests/LocalServerTest.cpp
+++ b/packages/home/tests/LocalServerTest.cpp
@@ -29,7 +29,7 @@
                 .mAddress = kAddress },
               { .mFailingServers = FailingServers::kBreak,
                 .mHeaders = { .mServerDeadline = "X-Deadline" } },
-              mCutoff)
+              mShutdownDeadline)
   {
   }
 
@@ -51,7 +51,7 @@
     CHECK(mServer.InFlight() == aCount);
   }
 
-  Cutoff mCutoff;
+  ShutdownDeadline mShutdownDeadline;
   std::atomic<bool> mRelease{ false };
 
 private:
@@ -96,7 +96,7 @@
   server.mServer.SetLeaving(true);
   const auto rejected = waiting.get(); // while the first one still runs
   CHECK(rejected.mOutcome == Outcome::kNotRun);
-  CHECK(rejected.mRefusal == Refusal::kLeaving);
+  CHECK(rejected.mRejectReason == RejectReason::kLeaving);
   CHECK(server.mServer.InFlight() == 1);
 
   server.mRelease = true;
@@ -120,12 +120,13 @@
 
   constexpr Millis kHangTime{ 5000 };
   constexpr Millis kReportDelay{ 500 };
-  CHECK_FALSE(server.mServer.TakeNews(Now() + kHangTime).has_value());
-  const auto update = server.mServer.TakeNews(Now() + kHangTime + kReportDelay);
+  CHECK_FALSE(server.mServer.TakeStateUpdate(Now() + kHangTime).has_value());
+  const auto update =
+    server.mServer.TakeStateUpdate(Now() + kHangTime + kReportDelay);
   REQUIRE(update.has_value());
   CHECK(update->mDemoted);
   CHECK(update->mReceivers == std::vector{ BoxName("b") });
-  CHECK(waiting.get().mRefusal == Refusal::kDemoted);
+  CHECK(waiting.get().mRejectReason == RejectReason::kDemoted);
   CHECK(server.mServer.InFlight() == 2);
 
   server.mRelease = true;
@@ -140,13 +141,13 @@
   server.mServer.SetRetryBudget({ .mShare = 0.5, .mBurst = 1.0 });
   const auto send = [&](std::uint64_t aNumber, bool aRepeat) {
     auto request = Request(aNumber, true);
-    request.mRepeat = aRepeat;
+    request.mIsRetry = aRepeat;
     return server.Begin(request).get();
   };
   CHECK(send(1, true).mOutcome == Outcome::kRun);
   const auto rejected = send(2, true);
   CHECK(rejected.mOutcome == Outcome::kNotRun);
-  CHECK(rejected.mRefusal == Refusal::kNoRetries);
+  CHECK(rejected.mRejectReason == RejectReason::kNoRetries);
   CHECK(send(3, false).mOutcome == Outcome::kRun);
   CHECK(send(4, true).mOutcome == Outcome::kNotRun);
   CHECK(send(5, false).mOutcome == Outcome::kRun);
@@ -158,11 +159,11 @@
 {
   OneSlotServer server;
   server.mRelease = true;
-  server.mCutoff.Set(Now() + kLong / 2);
+  server.mShutdownDeadline.Set(Now() + kLong / 2);
 
   const auto once = server.Begin(Request(1)).get();
   CHECK(once.mOutcome == Outcome::kNotRun);
-  CHECK(once.mRefusal == Refusal::kDemoted);
+  CHECK(once.mRejectReason == RejectReason::kDemoted);
   CHECK(server.Begin(Request(2, true)).get().mOutcome == Outcome::kRun);
 
   auto lastResort = Request(3);
--- a/packages/home/tests/ServerBreakerTest.cpp
+++ b/packages/home/tests/ServerBreakerTest.cpp
@@ -102,7 +102,7 @@
   const RouteTimes times = TypicalTimes();
   ServerBreaker breaker(ServerIncarnation(BackendServerName("s")), times);
   const HomeAnswer full{ .mOutcome = Outcome::kNotRun,
-                         .mRefusal = Refusal::kServerBusy };
+                         .mRejectReason = RejectReason::kServerBusy };
   for (std::uint64_t i = 1; i < 10; ++i) {
     RunAttempt(breaker, i, full, Millis(1));
   }
--- a/packages/hop/include/porttiller/hop/HomeTypes.h
+++ b/packages/hop/include/porttiller/hop/HomeTypes.h
@@ -3,7 +3,7 @@
 
 #include "porttiller/core/Ids.h"
 #include "porttiller/core/Outcome.h"
-#include "porttiller/core/Refusal.h"
+#include "porttiller/core/RejectReason.h"
 #include "porttiller/core/Time.h"
 #include "porttiller/http/HttpListener.h"
 #include "porttiller/http/HttpTypes.h"
@@ -23,11 +23,11 @@
   BackendServerName mServer;
   Priority mPriority = Priority::kNormal;
   bool mRepeatable = false;
-  bool mMayFail = false;    // another server can still take it after a failure
-  bool mLastResort = false; // no other server accepts it
-  bool mRepeat = false;     // the request was sent to another server before
+  bool mCanFailOver = false; // another server can still take it after a failure
+  bool mLastResort = false;  // no other server accepts it
+  bool mIsRetry = false;     // the request was sent to another server before
   // Share of errors among the service's answers that the entry has seen.
-  double mUsualErrors = 0.0;
+  double mServiceErrorRate = 0.0;
   TimePoint mDeadline; // on the monotonic clock of this process
   std::string mRequestKey;
   std::string mRoute;     // class of requests whose latencies are compared
@@ -40,7 +40,7 @@
 // may query the outcome later, so its home waits past the deadline for the
 // answer and records it.
 inline bool
-Lingers(const HomeRequest& aRequest)
+WaitsPastDeadline(const HomeRequest& aRequest)
 {
   return !aRequest.mRepeatable && !aRequest.mRequestKey.empty();
 }
@@ -50,25 +50,25 @@
 IsCancelled(const HomeRequest& aRequest)
 {
   return aRequest.mCancelled && aRequest.mCancelled->IsCancelled() &&
-         !Lingers(aRequest);
+         !WaitsPastDeadline(aRequest);
 }
 
 // Returns the flag that cancels the waits of a request; null when none does.
 inline CancelFlag
 CancellationOf(const HomeRequest& aRequest)
 {
-  return Lingers(aRequest) ? nullptr : aRequest.mCancelled;
+  return WaitsPastDeadline(aRequest) ? nullptr : aRequest.mCancelled;
 }
 
 struct HomeAnswer
 {
   Outcome mOutcome = Outcome::kUnknown;
-  Refusal mRefusal = Refusal::kNone;
+  RejectReason mRejectReason = RejectReason::kNone;
   Millis mRetryAfter{ 0 }; // with kNotRun
   double mLoad = 0.0;      // running and waiting requests per slot
   // With kRun: 90th percentile of the route's latency at this server; zero
   // while unknown.
-  Micros mUsualTime{ 0 };
+  Micros mLatencyP90{ 0 };
   HttpAnswer mHttp;    // with kRun
   std::string mReason; // with kUnknown
 };
--- a/packages/hop/include/porttiller/hop/Cutoff.h
+++ b/packages/hop/include/porttiller/hop/ShutdownDeadline.h
@@ -10,7 +10,7 @@
 
 // Shared by all threads that wait on behalf of a request; set once, when
 // draining begins. Thread-safe.
-class Cutoff
+class ShutdownDeadline
 {
 public:
   // Interval at which waits check for a planned stop. A stop takes seconds, so
@@ -34,16 +34,16 @@
   // Calls aWait with the end of each interval until it returns true or
   // Limit(aUntil) has passed; returns the result of the last call.
   template<typename Wait>
-  bool WaitInSlices(TimePoint aUntil, Wait aWait) const
+  bool WaitInIntervals(TimePoint aUntil, Wait aWait) const
   {
-    return WaitInSlices(
+    return WaitInIntervals(
       aUntil, [] { return false; }, aWait);
   }
 
   // As above, but also returns false when aStop returns true between two
   // intervals.
   template<typename Stop, typename Wait>
-  bool WaitInSlices(TimePoint aUntil, Stop aStop, Wait aWait) const
+  bool WaitInIntervals(TimePoint aUntil, Stop aStop, Wait aWait) const
   {
     for (;;) {
       const auto now = Now();
--- a/packages/hop/src/Dialects.cpp
+++ b/packages/hop/src/Dialects.cpp
@@ -15,7 +15,7 @@
            .mKey = hop::kKey,
            .mServerDeadline = hop::kDeadlineMs,
            .mWorkspace = hop::kWorkspace,
-           .mTellOutcome = true };
+           .mReportOutcome = true };
 }
 
 StoreDialect
--- a/packages/hop/src/HopCodec.cpp
+++ b/packages/hop/src/HopCodec.cpp
@@ -108,9 +108,9 @@
 {
   std::string flags;
   flags += aRequest.mRepeatable ? std::string(1, kRepeatableFlag) : "";
-  flags += aRequest.mMayFail ? std::string(1, kCanFailOverFlag) : "";
+  flags += aRequest.mCanFailOver ? std::string(1, kCanFailOverFlag) : "";
   flags += aRequest.mLastResort ? std::string(1, kLastResortFlag) : "";
-  flags += aRequest.mRepeat ? std::string(1, kRetryFlag) : "";
+  flags += aRequest.mIsRetry ? std::string(1, kRetryFlag) : "";
   return flags;
 }
 
@@ -146,7 +146,7 @@
     fields.Add("");
   }
   fields.Add(FlagsOf(aRequest)).Add(aRequest.mRoute);
-  fields.Add(static_cast<std::int64_t>(aRequest.mUsualErrors * kPercent));
+  fields.Add(static_cast<std::int64_t>(aRequest.mServiceErrorRate * kPercent));
   http.mHeaders.push_back({ hop::kRequestHop, fields.Take() });
   if (!aRequest.mRequestKey.empty()) {
     http.mHeaders.push_back({ hop::kRequestKey, aRequest.mRequestKey });
@@ -177,12 +177,12 @@
   }
   const auto flags = fields.Text(kFlags);
   request.mRepeatable = HasFlag(flags, kRepeatableFlag);
-  request.mMayFail = HasFlag(flags, kCanFailOverFlag);
+  request.mCanFailOver = HasFlag(flags, kCanFailOverFlag);
   request.mLastResort = HasFlag(flags, kLastResortFlag);
-  request.mRepeat = HasFlag(flags, kRetryFlag);
+  request.mIsRetry = HasFlag(flags, kRetryFlag);
   request.mServer = BackendServerName(fields.Text(kServer));
   request.mRoute = fields.Text(kRoute);
-  request.mUsualErrors =
+  request.mServiceErrorRate =
     static_cast<double>(fields.Number(kErrorPercent).value_or(0)) / kPercent;
   request.mRequestKey = HeaderValue(aHttp.mHeaders, hop::kRequestKey);
   aHttp.mHeaders = WithoutHopHeaders(aHttp.mHeaders);
@@ -200,13 +200,13 @@
   fields.Add(static_cast<std::int64_t>(aAttempt.Sequence()))
     .Add(aIncarnation)
     .Add(static_cast<std::int64_t>(aAnswer.mOutcome))
-    .Add(ToText(aAnswer.mRefusal))
+    .Add(ToText(aAnswer.mRejectReason))
     .Add(ToMillis(aNow))
     .Add(static_cast<std::int64_t>(aAnswer.mLoad * kPermille))
     .Add(aAnswer.mRetryAfter.count())
     .Add(aAnswer.mReason);
-  if (aAnswer.mUsualTime > Micros(0)) {
-    fields.Add(std::chrono::ceil<Millis>(aAnswer.mUsualTime).count());
+  if (aAnswer.mLatencyP90 > Micros(0)) {
+    fields.Add(std::chrono::ceil<Millis>(aAnswer.mLatencyP90).count());
   }
   return { { hop::kAnswerHop, fields.Take() } };
 }
@@ -217,7 +217,7 @@
   using namespace answer_field;
   const HopFieldReader fields(HeaderValue(aHttp.mHeaders, hop::kAnswerHop));
   const auto outcome = fields.Number(kOutcome);
-  const auto refusal = ParseRefusal(fields.Text(kRefusal));
+  const auto refusal = ParseRejectReason(fields.Text(kRefusal));
   const auto incarnation = fields.Number(kIncarnation);
   const auto clock = fields.Number(kHomeClockMs);
   if (fields.Number(kSequence) != aAttempt.Sequence() || !outcome ||
@@ -230,12 +230,12 @@
                                Millis(static_cast<std::int64_t>(*clock)) };
   auto& answer = decoded.mAnswer;
   answer.mOutcome = static_cast<Outcome>(*outcome);
-  answer.mRefusal = *refusal;
+  answer.mRejectReason = *refusal;
   answer.mLoad =
     static_cast<double>(fields.Number(kLoadPermille).value_or(0)) / kPermille;
   answer.mRetryAfter = Millis(fields.Number(kRetryAfterMs).value_or(0));
   answer.mReason = fields.Text(kReason);
-  answer.mUsualTime = Millis(fields.Number(kP90LatencyMs).value_or(0));
+  answer.mLatencyP90 = Millis(fields.Number(kP90LatencyMs).value_or(0));
   answer.mHttp = std::move(aHttp);
   return decoded;
 }
--- a/packages/hop/tests/HopCodecTest.cpp
+++ b/packages/hop/tests/HopCodecTest.cpp
@@ -18,8 +18,8 @@
                        .mServer = BackendServerName("i-1"),
                        .mPriority = Priority::kSheddable,
                        .mRepeatable = true,
-                       .mMayFail = true,
-                       .mRepeat = true,
+                       .mCanFailOver = true,
+                       .mIsRetry = true,
                        .mDeadline = kNow + Millis(900),
                        .mRequestKey = "key",
                        .mRoute = "r" };
@@ -43,9 +43,9 @@
   CHECK(decoded->mServer == request.mServer);
   CHECK(decoded->mPriority == request.mPriority);
   CHECK(decoded->mRepeatable);
-  CHECK(decoded->mMayFail);
+  CHECK(decoded->mCanFailOver);
   CHECK_FALSE(decoded->mLastResort);
-  CHECK(decoded->mRepeat);
+  CHECK(decoded->mIsRetry);
   CHECK(decoded->mDeadline == request.mDeadline);
   CHECK(decoded->mRequestKey == "key");
   CHECK(decoded->mRoute == "r");
@@ -65,7 +65,7 @@
 TEST_CASE("A home answer is decoded as it was encoded, for its attempt only")
 {
   const HomeAnswer answer{ .mOutcome = Outcome::kNotRun,
-                           .mRefusal = Refusal::kDemoted,
+                           .mRejectReason = RejectReason::kDemoted,
                            .mRetryAfter = Millis(120),
                            .mLoad = 0.75,
                            .mReason = "because" };
@@ -78,7 +78,7 @@
   CHECK(decoded->mIncarnation == Incarnation(8));
   CHECK(decoded->mHomeClock == Millis(50'000));
   CHECK(decoded->mAnswer.mOutcome == answer.mOutcome);
-  CHECK(decoded->mAnswer.mRefusal == answer.mRefusal);
+  CHECK(decoded->mAnswer.mRejectReason == answer.mRejectReason);
   CHECK(decoded->mAnswer.mRetryAfter == answer.mRetryAfter);
   CHECK(decoded->mAnswer.mLoad == doctest::Approx(0.75));
   CHECK(decoded->mAnswer.mReason == "because");
--- a/packages/http/include/porttiller/http/HttpExchange.h
+++ b/packages/http/include/porttiller/http/HttpExchange.h
@@ -63,7 +63,7 @@
   // How long the connection was idle before it was reused for this request;
   // zero for a new one. The peer may close an idle connection at the moment
   // when a request is sent on it.
-  Micros Rested() const;
+  Micros IdleTime() const;
 
 private:
   tl::expected<void, ExchangeError> ReadMessage(TimePoint aDeadline,
--- a/packages/http/include/porttiller/http/HttpListener.h
+++ b/packages/http/include/porttiller/http/HttpListener.h
@@ -36,7 +36,7 @@
 using HttpHandler = std::function<HttpReply(HttpCall&)>;
 
 // Why the listener answers a request itself instead of the handler.
-enum class ListenerRefusal
+enum class ListenerRejection
 {
   kMalformed,
   kHeadTooLarge,
@@ -47,11 +47,11 @@
 };
 
 const char*
-ToText(ListenerRefusal aRefusal);
+ToText(ListenerRejection aRejectReason);
 
 // The HTTP status of a refusal, such as 413.
 int
-StatusOf(ListenerRefusal aRefusal);
+StatusOf(ListenerRejection aRejectReason);
 
 struct HttpListenerOptions
 {
@@ -70,7 +70,7 @@
   // run concurrently.
   int mPipelined = 8;
   // Makes the answer for a refusal; plain text if not set.
-  std::function<HttpReply(ListenerRefusal)> mRefuse;
+  std::function<HttpReply(ListenerRejection)> mRefuse;
   // Called with the text of an exception that a handler threw, which is a bug.
   std::function<void(const std::string&)> mOnException;
 };
--- a/packages/http/src/HttpConnectionPriv.cpp
+++ b/packages/http/src/HttpConnectionPriv.cpp
@@ -1,6 +1,6 @@
 #include "HttpConnectionPriv.h"
 
-#include "ListenerRefusalPriv.h"
+#include "ListenerRejectionPriv.h"
 
 #include <Poco/Exception.h>
 #include <algorithm>
@@ -29,16 +29,16 @@
   }
 }
 
-ListenerRefusal
+ListenerRejection
 RefusalOf(MessageFault aFault)
 {
   switch (aFault) {
     case MessageFault::kHeadTooLarge:
-      return ListenerRefusal::kHeadTooLarge;
+      return ListenerRejection::kHeadTooLarge;
     case MessageFault::kBodyTooLarge:
-      return ListenerRefusal::kBodyTooLarge;
+      return ListenerRejection::kBodyTooLarge;
     default:
-      return ListenerRefusal::kMalformed;
+      return ListenerRejection::kMalformed;
   }
 }
 
@@ -134,14 +134,14 @@
 
 // Answers input that is not an acceptable request, and closes the connection.
 void
-HttpConnection::Refuse(ListenerRefusal aRefusal)
+HttpConnection::Refuse(ListenerRejection aRejectReason)
 {
   mInputEnded = true;
   auto call = std::make_shared<PendingCall>();
   call->mDispatched = true;
   call->mDone = true;
   call->mClose = true;
-  call->mAnswer = MakeRefusal(mOptions, aRefusal).mAnswer;
+  call->mAnswer = MakeRejection(mOptions, aRejectReason).mAnswer;
   mCalls.push_back(std::move(call));
   Flush();
 }
@@ -282,7 +282,7 @@
   }
   if (mReader.HasStarted()) {
     if (aNow >= mRequestStart + mLimits.mRead) {
-      Refuse(ListenerRefusal::kRequestTimeout);
+      Refuse(ListenerRejection::kRequestTimeout);
     }
   } else if (aStopping || aNow >= mLastUse + mLimits.mIdle) {
     AbandonLocked();
--- a/packages/http/src/HttpConnectionPriv.h
+++ b/packages/http/src/HttpConnectionPriv.h
@@ -81,7 +81,7 @@
   void ReadAll(TimePoint aNow);
   void OnBytes(std::string_view aBytes, TimePoint aNow);
   void Parse(TimePoint aNow);
-  void Refuse(ListenerRefusal aRefusal);
+  void Refuse(ListenerRejection aRejectReason);
   std::vector<PendingCallPtr> TakeRunnable();
   void EndAfterRunning();
   void Flush();
--- a/packages/http/src/HttpExchange.cpp
+++ b/packages/http/src/HttpExchange.cpp
@@ -104,7 +104,7 @@
 }
 
 Micros
-HttpExchange::Rested() const
+HttpExchange::IdleTime() const
 {
   return mConnection ? mConnection->mIdleTime : Micros(0);
 }
--- a/packages/http/src/HttpListener.cpp
+++ b/packages/http/src/HttpListener.cpp
@@ -1,7 +1,7 @@
 #include "porttiller/http/HttpListener.h"
 
 #include "HttpConnectionPriv.h"
-#include "ListenerRefusalPriv.h"
+#include "ListenerRejectionPriv.h"
 #include "SocketsPriv.h"
 
 #include <Poco/Exception.h>
@@ -304,7 +304,7 @@
       job.release(); // NOLINT(bugprone-unused-return-value): it owns itself
     } catch (const Poco::NoThreadAvailableException&) {
       const auto next = aConnection->Complete(
-        call, MakeRefusal(mOptions, ListenerRefusal::kNoWorker), mDraining);
+        call, MakeRejection(mOptions, ListenerRejection::kNoWorker), mDraining);
       --mOpenCalls;
       Dispatch(aConnection, next);
     }
@@ -320,7 +320,7 @@
     if (mOptions.mOnException) {
       mOptions.mOnException(e.what());
     }
-    return MakeRefusal(mOptions, ListenerRefusal::kHandlerFailed);
+    return MakeRejection(mOptions, ListenerRejection::kHandlerFailed);
   }
 }
 
--- /dev/null
+++ b/packages/http/src/ListenerRejection.cpp
@@ -0,0 +1,56 @@
+#include "ListenerRejectionPriv.h"
+
+namespace porttiller {
+
+const char*
+ToText(ListenerRejection aRejectReason)
+{
+  switch (aRejectReason) {
+    case ListenerRejection::kMalformed:
+      return "malformed-request";
+    case ListenerRejection::kHeadTooLarge:
+      return "headers-too-large";
+    case ListenerRejection::kBodyTooLarge:
+      return "body-too-large";
+    case ListenerRejection::kRequestTimeout:
+      return "request-too-slow";
+    case ListenerRejection::kNoWorker:
+      return "no-worker";
+    case ListenerRejection::kHandlerFailed:
+      break;
+  }
+  return "internal-error";
+}
+
+int
+StatusOf(ListenerRejection aRejectReason)
+{
+  switch (aRejectReason) {
+    case ListenerRejection::kMalformed:
+      return 400;
+    case ListenerRejection::kHeadTooLarge:
+      return 431;
+    case ListenerRejection::kBodyTooLarge:
+      return 413;
+    case ListenerRejection::kRequestTimeout:
+      return 408;
+    case ListenerRejection::kNoWorker:
+      return 503;
+    case ListenerRejection::kHandlerFailed:
+      break;
+  }
+  return 500;
+}
+
+HttpReply
+MakeRejection(const HttpListenerOptions& aOptions,
+              ListenerRejection aRejectReason)
+{
+  if (aOptions.mRefuse) {
+    return aOptions.mRefuse(aRejectReason);
+  }
+  return { .mAnswer = { .mStatus = StatusOf(aRejectReason),
+                        .mBody = std::string(ToText(aRejectReason)) + "\n" } };
+}
+
+} // namespace porttiller
--- a/packages/http/src/ListenerRefusalPriv.h
+++ b/packages/http/src/ListenerRejectionPriv.h
@@ -7,6 +7,7 @@
 
 // Made by mRefuse of aOptions, or plain text if that is not set.
 HttpReply
-MakeRefusal(const HttpListenerOptions& aOptions, ListenerRefusal aRefusal);
+MakeRejection(const HttpListenerOptions& aOptions,
+              ListenerRejection aRejectReason);
 
 } // namespace porttiller
--- a/packages/node/src/Node.cpp
+++ b/packages/node/src/Node.cpp
@@ -59,9 +59,9 @@
           { .mFailingServers = mSettings.mFailingServers,
             .mHeaders = EdgeHeadersOf(mSettings) },
           mSettings.mRetries,
-          mCutoff)
+          mShutdownDeadline)
   , mView(mSettings.mBox, mSettings.mZone, {})
-  , mNamer(mSettings.mBox, mIncarnation)
+  , mAttemptIdGenerator(mSettings.mBox, mIncarnation)
   , mGate(LimitBoundsOf(mSettings))
 {
 }
@@ -123,7 +123,7 @@
     mMetrics,
     ConfigPeers{ .mLiveBoxes = [this] { return mMembership->LiveBoxes(); },
                  .mSpreadPeers =
-                   [this](const SpreadOptions& aOptions) {
+                   [this](const GossipFanout& aOptions) {
                      return mMembership->SpreadPeers(aOptions);
                    } },
     [this](const auto& aObjects) { mUnreadable.Note(aObjects); });
@@ -150,7 +150,7 @@
                                                      mMetrics);
   }
   if (mSettings.mFailingServers == FailingServers::kBreak) {
-    mNews = std::make_unique<NewsController>(
+    mServerUpdates = std::make_unique<ServerUpdateController>(
       mSettings, mHome, mView, *mTransport, [this] {
         return mConfig->Current();
       });
@@ -164,7 +164,7 @@
       mSettings, mIncarnation, *mTransport, MakeDirectoryHooks());
   }
   mDispatcher = std::make_unique<Dispatcher>(
-    mSettings, mHome, mView, *mTransport, mMetrics, mCutoff);
+    mSettings, mHome, mView, *mTransport, mMetrics, mShutdownDeadline);
   mControllersReady = true;
 }
 
@@ -186,10 +186,14 @@
     return tl::make_unexpected(admin.error());
   }
   mAdminServer = std::move(*admin);
-  auto entry = EntryServer::Make(
-    mSettings,
-    [this] { return mConfig->Current(); },
-    { mView, *mDispatcher, mMetrics, mNamer, mAttemptPool, mGate });
+  auto entry = EntryServer::Make(mSettings,
+                                 [this] { return mConfig->Current(); },
+                                 { mView,
+                                   *mDispatcher,
+                                   mMetrics,
+                                   mAttemptIdGenerator,
+                                   mAttemptPool,
+                                   mGate });
   if (!entry) {
     return tl::make_unexpected(entry.error());
   }
@@ -249,8 +253,8 @@
 {
   mHome.Apply(aSnapshot);
   for (const auto& [box, incarnation] : aSnapshot.mIncarnations) {
-    if (mView.LifeOf(box).mIncarnation < incarnation) {
-      mView.SetLife(box, { .mIncarnation = incarnation });
+    if (mView.HomeStateOf(box).mIncarnation < incarnation) {
+      mView.SetHomeState(box, { .mIncarnation = incarnation });
     }
   }
   if (aSnapshot.mLimits) {
@@ -274,12 +278,12 @@
                return mMembership->RandomPeers(aCount);
              },
            .mSpreadPeers =
-             [this](const SpreadOptions& aOptions) {
+             [this](const GossipFanout& aOptions) {
                return mMembership->SpreadPeers(aOptions);
              },
            .mOnUnreadable =
              [this](const auto& aObjects) { mUnreadable.Note(aObjects); },
-           .mReadsList = [this] { return mConfig->IsFirstWatcher(); } };
+           .mShouldListRecords = [this] { return mConfig->IsFirstWatcher(); } };
 }
 
 void
@@ -299,8 +303,8 @@
   if (mEjection) {
     mEjection->Start();
   }
-  if (mNews) {
-    mNews->Start();
+  if (mServerUpdates) {
+    mServerUpdates->Start();
   }
   if (mStatus) {
     mStatus->Start();
@@ -317,8 +321,8 @@
     if (mEjection) {
       mEjection->Stop();
     }
-    if (mNews) {
-      mNews->Stop();
+    if (mServerUpdates) {
+      mServerUpdates->Stop();
     }
     if (mDirectory) {
       mDirectory->Stop();
@@ -353,7 +357,7 @@
   LogLine(LogLevel::kInfo, "draining")
     .With("bound_ms", mSettings.mTiming.mDrain.count());
   mDraining = true;
-  mCutoff.Set(bound);
+  mShutdownDeadline.Set(bound);
   mEntryServer->BeginDrain();
   std::this_thread::sleep_for(mSettings.mTiming.mDrainNotice);
   auto entryStopped =
--- a/packages/node/src/NodePartsPriv.h
+++ b/packages/node/src/NodePartsPriv.h
@@ -8,7 +8,7 @@
 #include "porttiller/control/EjectionController.h"
 #include "porttiller/control/LimitController.h"
 #include "porttiller/control/MembershipController.h"
-#include "porttiller/control/NewsController.h"
+#include "porttiller/control/ServerUpdateController.h"
 #include "porttiller/control/StatusController.h"
 #include "porttiller/control/UnreadableObjects.h"
 #include "porttiller/entry/AttemptPool.h"
@@ -17,7 +17,7 @@
 #include "porttiller/entry/EntryView.h"
 #include "porttiller/home/Home.h"
 #include "porttiller/home/HomeServer.h"
-#include "porttiller/hop/Cutoff.h"
+#include "porttiller/hop/ShutdownDeadline.h"
 #include "porttiller/node/AdminServer.h"
 #include "porttiller/node/ReadinessServer.h"
 #include "porttiller/node/RegistrationServer.h"
@@ -65,10 +65,10 @@
   const Incarnation mIncarnation;
   Metrics mMetrics;
   UnreadableObjects mUnreadable{ mMetrics };
-  Cutoff mCutoff;
+  ShutdownDeadline mShutdownDeadline;
   Home mHome;
   EntryView mView;
-  AttemptNamer mNamer;
+  AttemptIdGenerator mAttemptIdGenerator;
   WorkspaceGate mGate;
   std::atomic<bool> mDraining{ false };
   std::atomic<bool> mControllersReady{ false }; // the controllers below exist
@@ -78,7 +78,8 @@
   std::unique_ptr<EjectionController> mEjection;
   std::unique_ptr<StatusController> mStatus; // only with Dialect::kNative
   std::unique_ptr<LimitController> mLimits;
-  std::unique_ptr<NewsController> mNews; // only with FailingServers::kBreak
+  std::unique_ptr<ServerUpdateController>
+    mServerUpdates; // only with FailingServers::kBreak
   std::unique_ptr<Dispatcher> mDispatcher;
   AttemptPool mAttemptPool;
   std::unique_ptr<HomeServer> mHomeServer;
--- a/packages/node/src/NodePeers.cpp
+++ b/packages/node/src/NodePeers.cpp
@@ -79,8 +79,8 @@
       }
       return std::nullopt;
     case wire::Envelope::kServerNews:
-      if (mNews) {
-        mNews->OnNews(aRequest.server_news());
+      if (mServerUpdates) {
+        mServerUpdates->OnServerUpdate(aRequest.server_news());
       }
       return std::nullopt; // a one-way message
     case wire::Envelope::kWorkspaceReport:
--- a/packages/peer/include/porttiller/peer/PeerTransport.h
+++ b/packages/peer/include/porttiller/peer/PeerTransport.h
@@ -113,7 +113,7 @@
   // Sends a one-way message, which may get lost. A box record or a probe is
   // sent as a request, to check the link, if the link has carried replies but
   // none for a second.
-  void Tell(const std::string& aAddress, wire::Envelope aMessage);
+  void SendOneWay(const std::string& aAddress, wire::Envelope aMessage);
 
   // Like Send, but blocks until the reply or the error. Must not be called on
   // the transport's own thread, where it would deadlock.
--- a/packages/peer/src/PeerTransport.cpp
+++ b/packages/peer/src/PeerTransport.cpp
@@ -70,7 +70,7 @@
 }
 
 void
-PeerTransport::Tell(const std::string& aAddress, wire::Envelope aMessage)
+PeerTransport::SendOneWay(const std::string& aAddress, wire::Envelope aMessage)
 {
   mLoop->PostMessage(aAddress, std::move(aMessage));
 }
--- a/packages/peer/tests/PeerTransportTest.cpp
+++ b/packages/peer/tests/PeerTransportTest.cpp
@@ -83,7 +83,7 @@
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handledByFirst);
   const auto second = MakePeer(kSecond, "b", handled);
-  first->Tell(kSecond, Request());
+  first->SendOneWay(kSecond, Request());
   // Calls go over the same link, in order.
   REQUIRE(first->Call(kSecond, Request(), Millis(5000)).has_value());
   CHECK(handled == 2);
@@ -173,7 +173,7 @@
   const int before = handled;
   link.SilenceForward();
   std::this_thread::sleep_for(Millis(1100)); // the link is quiet after 1 s
-  first->Tell(link.Address(), Request());
+  first->SendOneWay(link.Address(), Request());
   CHECK(IsHandled(handled, before + 1));
 }
 
--- a/packages/policy/include/porttiller/policy/AttemptPlan.h
+++ b/packages/policy/include/porttiller/policy/AttemptPlan.h
@@ -26,12 +26,13 @@
 };
 
 // Why an attempt was not run; decides where the next one may go.
-enum class Setback
+enum class NotRunReason
 {
-  kElsewhere, // this server cannot be used now
-  kSameAgain, // usable with the incarnation and clock that its home returned
-  kFull,      // its home has no free slot, or no retry left for it
-  kDemoted,   // usable only as the last resort
+  kTryElsewhere,    // this server cannot be used now
+  kRetrySameServer, // usable with the incarnation and clock that its home
+                    // returned
+  kNoCapacity,      // its home has no free slot, or no retry left for it
+  kDemoted,         // usable only as the last resort
   kOverloaded // rejected by the server itself; another server costs a retry
 };
 
@@ -52,22 +53,22 @@
   // Allows demoted servers as the last resort, once MayUse allows no other.
   // aDemotedLeft: there are demoted servers that were not tried. False when
   // there is no demoted server, or they were allowed before.
-  bool Widen(bool aDemotedLeft = false);
+  bool AllowLastResort(bool aDemotedLeft = false);
 
   // Every OnSent is followed by exactly one of the three calls below.
   void OnSent(const BackendServerName& aServer);
   // The server answered. aFailed: with a failure that may be retried.
   void OnAnswered(bool aFailed, const RetrySource& aRetry);
   void OnNotRun(const BackendServerName& aServer,
-                Setback aSetback,
+                NotRunReason aNotRunReason,
                 const RetrySource& aRetry);
   void OnUnknown(const RetrySource& aRetry);
 
   // Whether a hedged attempt may be sent while one runs. Takes a retry.
-  bool MayRace(const RetrySource& aRetry);
+  bool MayHedge(const RetrySource& aRetry);
   bool Repeatable() const { return mRepeatable; }
   // Whether a server has received the request or may have.
-  bool ReachedBefore() const { return mServersReached + mInFlight > 0; }
+  bool MayHaveReachedServer() const { return mServersReached + mInFlight > 0; }
   // Whether another attempt may follow if the next one fails.
   bool MayFailNext() const;
 
--- a/packages/policy/include/porttiller/policy/Balancer.h
+++ b/packages/policy/include/porttiller/policy/Balancer.h
@@ -13,7 +13,7 @@
 namespace porttiller {
 
 // Whether an entry may use a server, best first.
-enum class Standing
+enum class Eligibility
 {
   kOpen,        // usable without restriction
   kAvoid,       // its home asks to prefer other servers
@@ -26,7 +26,7 @@
 // What an entry knows about one server.
 struct Candidate
 {
-  Standing mStanding = Standing::kOpen;
+  Eligibility mEligibility = Eligibility::kOpen;
   bool mSameZone = false;
   int mInFlight = 0;          // requests of this entry
   double mReportedLoad = 0.0; // 0 idle, 1 all slots busy, above 1 queued
--- a/packages/policy/include/porttiller/policy/Detector.h
+++ b/packages/policy/include/porttiller/policy/CusumDetector.h
@@ -88,10 +88,10 @@
 };
 
 // Not thread-safe: its owner holds the server's lock.
-class Detector
+class CusumDetector
 {
 public:
-  explicit Detector(CusumDetectorOptions aOptions = {});
+  explicit CusumDetector(CusumDetectorOptions aOptions = {});
 
   // Slowness is ignored if aCountSlow is false, as for a server that is warming
   // up.
--- a/packages/policy/include/porttiller/policy/EjectionLedger.h
+++ b/packages/policy/include/porttiller/policy/EjectionLedger.h
@@ -28,7 +28,7 @@
 {
   BackendServerName mServer;
   int mSlots = 0;
-  bool mGone = false; // its box is dead or leaving
+  bool mDeparted = false; // its box is dead or leaving
 };
 
 struct CapacityView
@@ -63,13 +63,14 @@
   EjectionLedger WithoutServer(const BackendServerName& aServer) const;
 
   // Drops the entries that earlier incarnations of the daemon on aBox left.
-  EjectionLedger WithoutEarlierLives(const BoxName& aBox,
-                                     Incarnation aCurrent) const;
+  EjectionLedger WithoutEarlierIncarnations(const BoxName& aBox,
+                                            Incarnation aCurrent) const;
 
   // Drops the entries of aBox whose servers are not in aHeld. Entries of other
   // boxes stay.
-  EjectionLedger WithOwnOnly(const BoxName& aBox,
-                             const std::set<BackendServerName>& aHeld) const;
+  EjectionLedger WithoutUnheldEntries(
+    const BoxName& aBox,
+    const std::set<BackendServerName>& aHeld) const;
 
   // Returns the newest entries, as many as must end for the floor to hold again
   // after boxes died or the floor was raised.
--- a/packages/policy/include/porttiller/policy/EjectionMachine.h
+++ b/packages/policy/include/porttiller/policy/EjectionMachine.h
@@ -8,7 +8,7 @@
 // capacity floor of its service.
 #pragma once
 
-#include "porttiller/policy/Detector.h"
+#include "porttiller/policy/CusumDetector.h"
 
 #include <optional>
 #include <string>
@@ -89,7 +89,7 @@
   kUnavailable // the platform is unavailable or the outcome is unknown
 };
 
-enum class GateVerdict
+enum class AdmissionVerdict
 {
   kAdmit,
   kDemoted,
@@ -118,7 +118,7 @@
   // The service fell below its floor: the server returns to rotation at once.
   void OnFloorBroken(TimePoint aNow);
 
-  GateVerdict Gate(bool aRepeatable, bool aLastResort, TimePoint aNow);
+  AdmissionVerdict Gate(bool aRepeatable, bool aLastResort, TimePoint aNow);
   // The time after which a rejected request may be retried.
   Millis RetryAfter(TimePoint aNow) const;
   // Share of the slots in use: 1 except while ramping up.
@@ -129,11 +129,11 @@
   std::optional<PeerHealth> Health() const;
 
   ServerPhase Phase() const { return mPhase; }
-  bool SetAside() const;
+  bool OutOfRotation() const;
   // True while the server takes no work at all, so its capacity is missing.
   bool Ejected() const;
   bool HoldsPermission() const { return mPermission != Permission::kNone; }
-  const Detector& Evidences() const { return mDetector; }
+  const CusumDetector& HealthDetector() const { return mDetector; }
   std::string Dump() const;
 
 private:
@@ -158,7 +158,7 @@
   std::optional<EjectionAction> PermissionAction(TimePoint aNow);
 
   EjectionOptions mOptions;
-  Detector mDetector;
+  CusumDetector mDetector;
   ServerPhase mPhase = ServerPhase::kRamping;
   Permission mPermission = Permission::kNone;
   bool mActionPending = false; // an action has not been answered yet
--- a/packages/policy/include/porttiller/policy/Spread.h
+++ b/packages/policy/include/porttiller/policy/GossipFanout.h
@@ -11,7 +11,7 @@
 
 namespace porttiller {
 
-struct SpreadOptions
+struct GossipFanout
 {
   std::size_t mOwnZone = 0;      // receivers in the sender's zone
   std::size_t mPerOtherZone = 0; // receivers in each other zone
@@ -22,7 +22,7 @@
 std::vector<std::size_t>
 ChooseReceivers(std::span<const AvailabilityZone> aZones,
                 const AvailabilityZone& aOwnZone,
-                const SpreadOptions& aOptions,
+                const GossipFanout& aOptions,
                 std::uint64_t aRandom);
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/LimitGate.h
+++ b/packages/policy/include/porttiller/policy/LimitGate.h
@@ -26,7 +26,7 @@
   // one request per second.
   double mLocalBurst = 1.0;
   // Whatever its shares, one entry alone admits no more than the whole limit
-  // and mToleranceShare of the tolerance (SpareOf).
+  // and mToleranceShare of the tolerance (ToleranceOf).
   LimitBounds mBounds;
   double mToleranceShare = 0.5;
   // Workspaces without a request for this time are dropped.
@@ -58,7 +58,7 @@
                      TimePoint aNow,
                      std::uint64_t aRandom);
   // Returns the tokens of an admitted request that was not run.
-  void GiveBack(const WorkspaceName& aWorkspace);
+  void Refund(const WorkspaceName& aWorkspace);
 
   // Returns the counts since the last call and resets them.
   WorkspaceUses TakeUnreportedUse(TimePoint aNow);
--- a/packages/policy/include/porttiller/policy/Membership.h
+++ b/packages/policy/include/porttiller/policy/Membership.h
@@ -87,7 +87,7 @@
   void OnNotReached(const BoxName& aBox, TimePoint aNow);
   // The record of the box shows a new incarnation. Records are distributed
   // separately, so this is not gossiped.
-  void OnNewLife(const BoxName& aBox, Incarnation aIncarnation);
+  void OnNewIncarnation(const BoxName& aBox, Incarnation aIncarnation);
   // Member states received from another node.
   void OnUpdates(const std::vector<MemberUpdate>& aUpdates, TimePoint aNow);
   // This box is leaving.
@@ -113,7 +113,7 @@
   // Whether to send requests to the box while other boxes would take them. A
   // suspect may still refute, but requests lost on the way to it stay lost.
   bool IsRoutable(const BoxName& aBox) const;
-  std::vector<BoxName> NotWorthSending() const;
+  std::vector<BoxName> NonRoutableBoxes() const;
   // The boxes that are neither dead nor leaving, this one included.
   std::vector<BoxName> LiveBoxes() const;
   std::size_t Size() const { return mMembers.size(); }
--- a/packages/policy/include/porttiller/policy/RequestLimit.h
+++ b/packages/policy/include/porttiller/policy/RequestLimit.h
@@ -31,7 +31,7 @@
 
 // The tolerance: requests that a window may have beyond rate x window + burst.
 inline double
-SpareOf(const RequestLimit& aLimit, const LimitBounds& aBounds)
+ToleranceOf(const RequestLimit& aLimit, const LimitBounds& aBounds)
 {
   const double window = std::chrono::duration<double>(aBounds.mWindow).count();
   return aBounds.mOver * (aLimit.mRatePerSecond * window + aLimit.mBurst) +
--- a/packages/policy/include/porttiller/policy/RetryShare.h
+++ b/packages/policy/include/porttiller/policy/RetryShare.h
@@ -29,7 +29,7 @@
 // repeated request makes again, and the full burst of each box that restarts.
 // Without the reserve, 255 repeats arrive in 10 s where 196 are allowed.
 RetryBound
-UsedOf(const RetryBound& aFleet);
+UsablePartOf(const RetryBound& aFleet);
 
 // The budget of one of aHomes homes; all of them together stay within aBound.
 RetryBudgetOptions
--- a/packages/policy/include/porttiller/policy/RouteTimes.h
+++ b/packages/policy/include/porttiller/policy/RouteTimes.h
@@ -17,7 +17,7 @@
   double Survival(const std::string& aRoute, Micros aTime) const;
   // The 90th percentile of the route's request times; zero while there are too
   // few samples.
-  Micros UsualTime(const std::string& aRoute) const;
+  Micros LatencyP90(const std::string& aRoute) const;
 
 private:
   const LatencyModel& ModelOf(const std::string& aRoute) const;
--- a/packages/policy/include/porttiller/policy/SilenceDetector.h
+++ b/packages/policy/include/porttiller/policy/SilenceDetector.h
@@ -44,7 +44,7 @@
                  TimePoint aNow);
   void OnAnswered(const AttemptId& aAttempt);
   // The request was abandoned; its age no longer grows.
-  void OnGivenUp(const AttemptId& aAttempt, TimePoint aNow);
+  void OnAbandoned(const AttemptId& aAttempt, TimePoint aNow);
   // Drops an attempt that shows nothing about the server.
   void Forget(const AttemptId& aAttempt);
   void Reset() { mRequests.clear(); }
--- a/packages/policy/include/porttiller/policy/Subset.h
+++ b/packages/policy/include/porttiller/policy/Subset.h
@@ -25,11 +25,11 @@
 
 // Position on the hash ring of entries and servers.
 std::uint64_t
-RingPlace(std::string_view aName);
+RingPosition(std::string_view aName);
 
 struct SubsetServer
 {
-  std::uint64_t mPlace = 0; // RingPlace of its name
+  std::uint64_t mPlace = 0; // RingPosition of its name
   bool mSameZone = false;
 };
 
@@ -37,7 +37,7 @@
 // servers of the zone evenly, and the servers of all other zones, too.
 struct SubsetEntry
 {
-  std::size_t mRank = 0;    // entries with a smaller RingPlace
+  std::size_t mRank = 0;    // entries with a smaller RingPosition
   std::size_t mEntries = 1; // itself included
 };
 
--- a/packages/policy/include/porttiller/policy/UsageCollector.h
+++ b/packages/policy/include/porttiller/policy/UsageCollector.h
@@ -20,7 +20,7 @@
   // Demand is averaged over this time, and a share has to hold for it: longer
   // than it takes until entries receive a grant and their new counts arrive.
   Millis mHorizon{ 800 };
-  // Share of the tolerance (SpareOf) that covers requests counted late; the
+  // Share of the tolerance (ToleranceOf) that covers requests counted late; the
   // rest covers requests that are never counted. A workspace that briefly
   // exceeds its rate by a little gets more of it than one that sends a multiple
   // of its rate, where late counts cost more.
--- a/packages/policy/include/porttiller/policy/UseReporter.h
+++ b/packages/policy/include/porttiller/policy/UseReporter.h
@@ -29,7 +29,7 @@
 struct UseReport
 {
   BoxName mCollector;
-  std::uint64_t mQuestion = 0; // for OnReply; 0: no reply is requested
+  std::uint64_t mReplyToken = 0; // for OnReply; 0: no reply is requested
   WorkspaceUses mUses;
 };
 
--- a/packages/policy/include/porttiller/policy/WatchTurns.h
+++ b/packages/policy/include/porttiller/policy/WatchSchedule.h
@@ -23,16 +23,16 @@
   friend bool operator==(const WatchPlace&, const WatchPlace&) = default;
 };
 
-struct WatchTurnsOptions
+struct WatchScheduleOptions
 {
   Millis mStep{ 1000 };
 };
 
 // Owned by the thread that watches.
-class WatchTurns
+class WatchSchedule
 {
 public:
-  explicit WatchTurns(WatchTurnsOptions aOptions);
+  explicit WatchSchedule(WatchScheduleOptions aOptions);
 
   // Returns the duration of the next long poll.
   Millis NextWait(const WatchPlace& aPlace);
@@ -41,7 +41,7 @@
   void OnChange() { mFirstWait = true; }
 
 private:
-  const WatchTurnsOptions mOptions;
+  const WatchScheduleOptions mOptions;
   bool mFirstWait = true; // the next poll is the first of its turns
   std::optional<WatchPlace> mPlace;
 };
--- a/packages/policy/src/AttemptPlan.cpp
+++ b/packages/policy/src/AttemptPlan.cpp
@@ -17,7 +17,7 @@
   }
   const bool mayTryMoreHomes =
     mLastResort || mRejectedAttempts < mOptions.mMaxRejectedAttempts;
-  return (mAttempts < mMaxAttempts && mayTryMoreHomes) || Widen();
+  return (mAttempts < mMaxAttempts && mayTryMoreHomes) || AllowLastResort();
 }
 
 bool
@@ -27,7 +27,7 @@
 }
 
 bool
-AttemptPlan::Widen(bool aDemotedLeft)
+AttemptPlan::AllowLastResort(bool aDemotedLeft)
 {
   if (mLastResort || (mDemoted.empty() && !aDemotedLeft)) {
     return false;
@@ -72,24 +72,24 @@
 
 void
 AttemptPlan::OnNotRun(const BackendServerName& aServer,
-                      Setback aSetback,
+                      NotRunReason aNotRunReason,
                       const RetrySource& aRetry)
 {
   --mInFlight;
-  switch (aSetback) {
-    case Setback::kElsewhere:
+  switch (aNotRunReason) {
+    case NotRunReason::kTryElsewhere:
       break;
-    case Setback::kSameAgain:
+    case NotRunReason::kRetrySameServer:
       mTried.erase(aServer);
       break;
-    case Setback::kFull:
+    case NotRunReason::kNoCapacity:
       ++mRejectedAttempts;
       break;
-    case Setback::kDemoted:
+    case NotRunReason::kDemoted:
       ++mRejectedAttempts;
       mDemoted.insert(aServer);
       break;
-    case Setback::kOverloaded:
+    case NotRunReason::kOverloaded:
       ++mServersReached;
       mEnded = !MayReachAnother() || !aRetry();
       return;
@@ -116,7 +116,7 @@
 }
 
 bool
-AttemptPlan::MayRace(const RetrySource& aRetry)
+AttemptPlan::MayHedge(const RetrySource& aRetry)
 {
   return mRepeatable && !mEnded && mAttempts < mMaxAttempts &&
          mRejectedAttempts < mOptions.mMaxRejectedAttempts &&
--- a/packages/policy/src/Balancer.cpp
+++ b/packages/policy/src/Balancer.cpp
@@ -19,12 +19,12 @@
 
 std::vector<std::size_t>
 WithEligibility(std::span<const Candidate> aCandidates,
-                Standing aEligibility,
+                Eligibility aEligibility,
                 bool aSameZoneOnly)
 {
   std::vector<std::size_t> indices;
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
-    if (aCandidates[i].mStanding == aEligibility &&
+    if (aCandidates[i].mEligibility == aEligibility &&
         (!aSameZoneOnly || aCandidates[i].mSameZone)) {
       indices.push_back(i);
     }
@@ -35,7 +35,8 @@
 std::vector<std::size_t>
 TrialsDue(std::span<const Candidate> aCandidates, bool aSameZoneOnly)
 {
-  auto indices = WithEligibility(aCandidates, Standing::kOpen, aSameZoneOnly);
+  auto indices =
+    WithEligibility(aCandidates, Eligibility::kOpen, aSameZoneOnly);
   std::erase_if(indices, [&](std::size_t aIndex) {
     return !aCandidates[aIndex].mTrialDue;
   });
@@ -61,11 +62,11 @@
              std::uint64_t aRandom1,
              std::uint64_t aRandom2)
 {
-  auto all = WithEligibility(aCandidates, Standing::kOpen, false);
-  auto sameZone = WithEligibility(aCandidates, Standing::kOpen, true);
+  auto all = WithEligibility(aCandidates, Eligibility::kOpen, false);
+  auto sameZone = WithEligibility(aCandidates, Eligibility::kOpen, true);
   if (all.empty()) {
-    all = WithEligibility(aCandidates, Standing::kAvoid, false);
-    sameZone = WithEligibility(aCandidates, Standing::kAvoid, true);
+    all = WithEligibility(aCandidates, Eligibility::kAvoid, false);
+    sameZone = WithEligibility(aCandidates, Eligibility::kAvoid, true);
   }
   if (all.empty()) {
     return std::nullopt;
--- a/packages/policy/src/Detector.cpp
+++ b/packages/policy/src/CusumDetector.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/policy/Detector.h"
+#include "porttiller/policy/CusumDetector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -51,7 +51,7 @@
   mEmpty = false;
 }
 
-Detector::Detector(CusumDetectorOptions aOptions)
+CusumDetector::CusumDetector(CusumDetectorOptions aOptions)
   : mOptions(std::move(aOptions))
   , mSlow(mOptions.mHealthySlowRate, mOptions.mFaultySlowRate)
 {
@@ -62,7 +62,7 @@
 
 // Counts a failure. Returns true if enough failures of its burst have counted.
 bool
-Detector::InBurst(TimePoint aNow)
+CusumDetector::InBurst(TimePoint aNow)
 {
   if (mBurstCount == 0 || aNow - mBurstStart >= mOptions.mBurstWindow) {
     mBurstStart = aNow;
@@ -72,7 +72,9 @@
 }
 
 void
-Detector::Observe(const Evidence& aEvidence, bool aCountSlow, TimePoint aNow)
+CusumDetector::Observe(const Evidence& aEvidence,
+                       bool aCountSlow,
+                       TimePoint aNow)
 {
   if (aEvidence.mFailed && InBurst(aNow)) {
     return;
@@ -97,7 +99,7 @@
 }
 
 void
-Detector::ObserveLatency(Micros aLatency, bool aCountSlow)
+CusumDetector::ObserveLatency(Micros aLatency, bool aCountSlow)
 {
   mRecent.Observe(aLatency);
   if (!aCountSlow) {
@@ -110,7 +112,7 @@
 }
 
 bool
-Detector::IsSlow(Micros aLatency) const
+CusumDetector::IsSlow(Micros aLatency) const
 {
   if (mMedian.Samples() < mOptions.mBaselineSamples) {
     return false;
@@ -122,7 +124,7 @@
 }
 
 double
-Detector::FailureScore() const
+CusumDetector::FailureScore() const
 {
   double score = 0.0;
   for (const auto& test : mFailures) {
@@ -137,19 +139,19 @@
 }
 
 double
-Detector::Score() const
+CusumDetector::Score() const
 {
   return std::max(FailureScore(), mSlow.Score() / mOptions.mThreshold);
 }
 
 bool
-Detector::OnlySlow() const
+CusumDetector::OnlySlow() const
 {
   return FailureScore() < 1.0 && Suspicious();
 }
 
 void
-Detector::Reset()
+CusumDetector::Reset()
 {
   for (auto& test : mFailures) {
     test.Reset();
@@ -159,7 +161,7 @@
 }
 
 std::string
-Detector::Dump() const
+CusumDetector::Dump() const
 {
   return "score=" + std::to_string(Score()) +
          " median_us=" + std::to_string(MedianLatency().count()) +
--- a/packages/policy/src/EjectionLedger.cpp
+++ b/packages/policy/src/EjectionLedger.cpp
@@ -18,7 +18,7 @@
       aEntries.begin(), aEntries.end(), [&](const LedgerEntry& aEntry) {
         return aEntry.mServer == server.mServer;
       });
-    if (!server.mGone && !ejected) {
+    if (!server.mDeparted && !ejected) {
       slots += server.mSlots;
     }
   }
@@ -77,8 +77,8 @@
 }
 
 EjectionLedger
-EjectionLedger::WithoutEarlierLives(const BoxName& aBox,
-                                    Incarnation aCurrent) const
+EjectionLedger::WithoutEarlierIncarnations(const BoxName& aBox,
+                                           Incarnation aCurrent) const
 {
   auto next = *this;
   std::erase_if(next.mEntries, [&](const LedgerEntry& aEntry) {
@@ -88,8 +88,9 @@
 }
 
 EjectionLedger
-EjectionLedger::WithOwnOnly(const BoxName& aBox,
-                            const std::set<BackendServerName>& aHeld) const
+EjectionLedger::WithoutUnheldEntries(
+  const BoxName& aBox,
+  const std::set<BackendServerName>& aHeld) const
 {
   auto next = *this;
   std::erase_if(next.mEntries, [&](const LedgerEntry& aEntry) {
--- a/packages/policy/src/EjectionMachine.cpp
+++ b/packages/policy/src/EjectionMachine.cpp
@@ -66,7 +66,7 @@
 }
 
 bool
-EjectionMachine::SetAside() const
+EjectionMachine::OutOfRotation() const
 {
   return mPhase == ServerPhase::kDemoted || mPhase == ServerPhase::kEjected ||
          mPhase == ServerPhase::kProbation;
@@ -84,7 +84,7 @@
 bool
 EjectionMachine::Ejected() const
 {
-  return SetAside() && mPermission == Permission::kHeld;
+  return OutOfRotation() && mPermission == Permission::kHeld;
 }
 
 void
@@ -121,7 +121,7 @@
     }
     return;
   }
-  if (SetAside()) {
+  if (OutOfRotation()) {
     return; // earlier requests, or requests sent here as the last resort
   }
   const bool cold = mPhase == ServerPhase::kRamping;
@@ -231,7 +231,7 @@
   if (mActionPending || aNow < mNextAction) {
     return std::nullopt;
   }
-  const bool working = !SetAside() && mPhase != ServerPhase::kAsking;
+  const bool working = !OutOfRotation() && mPhase != ServerPhase::kAsking;
   if (working && HoldsPermission()) {
     mPermission = Permission::kReleasing;
     mActionPending = true;
@@ -315,7 +315,7 @@
 void
 EjectionMachine::OnFloorBroken(TimePoint aNow)
 {
-  if (!SetAside()) {
+  if (!OutOfRotation()) {
     return;
   }
   mDetector.Reset();
@@ -323,22 +323,22 @@
   Enter(ServerPhase::kRamping, aNow);
 }
 
-GateVerdict
+AdmissionVerdict
 EjectionMachine::Gate(bool aRepeatable, bool aLastResort, TimePoint aNow)
 {
-  if (!SetAside()) {
-    return GateVerdict::kAdmit;
+  if (!OutOfRotation()) {
+    return AdmissionVerdict::kAdmit;
   }
   const bool mayTest = mPhase == ServerPhase::kProbation && aRepeatable &&
                        aNow >= mNextProbationRequest;
   if (mayTest) {
     mNextProbationRequest = aNow + mOptions.mProbationInterval;
-    return GateVerdict::kAdmit;
+    return AdmissionVerdict::kAdmit;
   }
   if (Ejected()) {
-    return GateVerdict::kEjected;
+    return AdmissionVerdict::kEjected;
   }
-  return aLastResort ? GateVerdict::kAdmit : GateVerdict::kDemoted;
+  return aLastResort ? AdmissionVerdict::kAdmit : AdmissionVerdict::kDemoted;
 }
 
 Millis
@@ -367,7 +367,7 @@
 std::optional<PeerHealth>
 EjectionMachine::Health() const
 {
-  if (SetAside()) {
+  if (OutOfRotation()) {
     return std::nullopt;
   }
   return PeerHealth{ .mSuspicious = mDetector.Score() >= kPeerSuspicionScore,
--- a/packages/policy/src/Spread.cpp
+++ b/packages/policy/src/GossipFanout.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/policy/Spread.h"
+#include "porttiller/policy/GossipFanout.h"
 
 #include <algorithm>
 #include <map>
@@ -10,7 +10,7 @@
 std::vector<std::size_t>
 ChooseReceivers(std::span<const AvailabilityZone> aZones,
                 const AvailabilityZone& aOwnZone,
-                const SpreadOptions& aOptions,
+                const GossipFanout& aOptions,
                 std::uint64_t aRandom)
 {
   std::vector<std::size_t> order(aZones.size());
--- a/packages/policy/src/LimitGate.cpp
+++ b/packages/policy/src/LimitGate.cpp
@@ -109,8 +109,9 @@
 {
   const double localBurst =
     std::max(mOptions.mLocalBurst, aLimit.mBurst / mBoxes);
-  const double limitBurst = aLimit.mBurst + mOptions.mToleranceShare *
-                                              SpareOf(aLimit, mOptions.mBounds);
+  const double limitBurst =
+    aLimit.mBurst +
+    mOptions.mToleranceShare * ToleranceOf(aLimit, mOptions.mBounds);
   if (!aState.mRefilledAt) {
     aState.mLocalTokens = localBurst;
     aState.mLimitTokens = limitBurst;
@@ -168,7 +169,7 @@
 }
 
 void
-LimitGate::GiveBack(const WorkspaceName& aWorkspace)
+LimitGate::Refund(const WorkspaceName& aWorkspace)
 {
   const auto it = mStates.find(aWorkspace.Value());
   if (it == mStates.end()) {
--- a/packages/policy/src/Membership.cpp
+++ b/packages/policy/src/Membership.cpp
@@ -291,7 +291,7 @@
 }
 
 void
-Membership::OnNewLife(const BoxName& aBox, Incarnation aIncarnation)
+Membership::OnNewIncarnation(const BoxName& aBox, Incarnation aIncarnation)
 {
   const auto it = mMembers.find(aBox);
   if (aBox == mSelf || it == mMembers.end() ||
@@ -394,7 +394,7 @@
 }
 
 std::vector<BoxName>
-Membership::NotWorthSending() const
+Membership::NonRoutableBoxes() const
 {
   std::vector<BoxName> boxes;
   for (const auto& [box, member] : mMembers) {
--- a/packages/policy/src/RetryShare.cpp
+++ b/packages/policy/src/RetryShare.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Fractions of the bound's share and burst that homes use; see UsedOf.
+// Fractions of the bound's share and burst that homes use; see UsablePartOf.
 constexpr double kUsableShare = 0.7;
 constexpr double kUsableBurst = 0.8;
 // Fraction of the share that is saved for bursts of failures; the rest accrues
@@ -24,7 +24,7 @@
 }
 
 RetryBound
-UsedOf(const RetryBound& aFleet)
+UsablePartOf(const RetryBound& aFleet)
 {
   return { .mShare = kUsableShare * aFleet.mShare,
            .mBurst = kUsableBurst * aFleet.mBurst,
--- a/packages/policy/src/RouteTimes.cpp
+++ b/packages/policy/src/RouteTimes.cpp
@@ -36,7 +36,7 @@
 }
 
 Micros
-RouteTimes::UsualTime(const std::string& aRoute) const
+RouteTimes::LatencyP90(const std::string& aRoute) const
 {
   const auto& model = ModelOf(aRoute);
   return model.Samples() < kMinSamples
--- a/packages/policy/src/SilenceDetector.cpp
+++ b/packages/policy/src/SilenceDetector.cpp
@@ -41,7 +41,7 @@
 }
 
 void
-SilenceDetector::OnGivenUp(const AttemptId& aAttempt, TimePoint aNow)
+SilenceDetector::OnAbandoned(const AttemptId& aAttempt, TimePoint aNow)
 {
   if (auto* request = Find(aAttempt)) {
     request->mState = RequestState::kAbandoned;
--- a/packages/policy/src/Subset.cpp
+++ b/packages/policy/src/Subset.cpp
@@ -45,7 +45,7 @@
 } // namespace
 
 std::uint64_t
-RingPlace(std::string_view aName)
+RingPosition(std::string_view aName)
 {
   return XXH64(aName.data(), aName.size(), kPlaceSeed);
 }
--- a/packages/policy/src/UsageCollector.cpp
+++ b/packages/policy/src/UsageCollector.cpp
@@ -98,8 +98,8 @@
   const WorkspaceUse nothing{ .mWorkspace = aState.mUnprocessed.mWorkspace };
   if (!aState.mInitialized) {
     aState.mInitialized = true;
-    aState.mLevel =
-      mPart * mOptions.mToleranceAtStart * SpareOf(aLimit, mOptions.mBounds);
+    aState.mLevel = mPart * mOptions.mToleranceAtStart *
+                    ToleranceOf(aLimit, mOptions.mBounds);
     aState.mUpdatedAt = aNow;
     aState.mLastUsedAt = aNow;
   }
@@ -143,7 +143,7 @@
   const double demand = SumOf(aState.mDemand) * horizon;
   const double tolerance =
     mPart * ToleranceShareAt(demand / std::max(rateAllowance, 1e-9)) *
-    SpareOf(aLimit, mOptions.mBounds);
+    ToleranceOf(aLimit, mOptions.mBounds);
   const double room = std::max(kMinRateFraction * rateAllowance,
                                aState.mLevel + tolerance + rateAllowance);
   aState.mShare = demand <= room ? 1.0 : room / demand;
--- a/packages/policy/src/UseReporter.cpp
+++ b/packages/policy/src/UseReporter.cpp
@@ -66,10 +66,10 @@
   if (!mReplyPending && due && !idle) {
     mReplyPending = true;
     mRequestedAt = aNow;
-    report.mQuestion = ++mLastReplyToken;
+    report.mReplyToken = ++mLastReplyToken;
     mAwaitingReply = std::exchange(mSentAfterRequest, {});
   }
-  if (report.mUses.empty() && report.mQuestion == 0) {
+  if (report.mUses.empty() && report.mReplyToken == 0) {
     return std::nullopt;
   }
   return report;
--- a/packages/policy/src/WatchTurns.cpp
+++ b/packages/policy/src/WatchSchedule.cpp
@@ -1,16 +1,16 @@
-#include "porttiller/policy/WatchTurns.h"
+#include "porttiller/policy/WatchSchedule.h"
 
 #include <utility>
 
 namespace porttiller {
 
-WatchTurns::WatchTurns(WatchTurnsOptions aOptions)
+WatchSchedule::WatchSchedule(WatchScheduleOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 Millis
-WatchTurns::NextWait(const WatchPlace& aPlace)
+WatchSchedule::NextWait(const WatchPlace& aPlace)
 {
   const bool moved = mPlace != aPlace;
   mPlace = aPlace;
--- a/packages/policy/tests/AttemptPlanTest.cpp
+++ b/packages/policy/tests/AttemptPlanTest.cpp
@@ -23,10 +23,10 @@
 {
   AttemptPlan plan(false);
   plan.OnSent(Server(1));
-  plan.OnNotRun(Server(1), Setback::kElsewhere, kAlways);
+  plan.OnNotRun(Server(1), NotRunReason::kTryElsewhere, kAlways);
   CHECK(plan.MayAttempt());
   plan.OnSent(Server(2));
-  CHECK_FALSE(plan.MayRace(kAlways));
+  CHECK_FALSE(plan.MayHedge(kAlways));
   plan.OnUnknown(kAlways);
   CHECK_FALSE(plan.MayAttempt());
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kUnknown);
@@ -39,7 +39,7 @@
   AttemptPlan plan(false);
   for (int i = 0; plan.MayAttempt() && !plan.LastResort(); ++i) {
     plan.OnSent(Server(i));
-    plan.OnNotRun(Server(i), Setback::kDemoted, kAlways);
+    plan.OnNotRun(Server(i), NotRunReason::kDemoted, kAlways);
   }
   CHECK(plan.LastResort());
   CHECK(plan.MayUse(Server(0)));
@@ -51,7 +51,7 @@
 {
   AttemptPlan plan(true);
   plan.OnSent(Server(1));
-  plan.OnNotRun(Server(1), Setback::kOverloaded, [] { return false; });
+  plan.OnNotRun(Server(1), NotRunReason::kOverloaded, [] { return false; });
   CHECK_FALSE(plan.MayAttempt());
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kNotRun);
 }
@@ -84,7 +84,7 @@
           plan.OnUnknown(retry);
           break;
         default:
-          plan.OnNotRun(server, static_cast<Setback>(Draw(0, 5)), retry);
+          plan.OnNotRun(server, static_cast<NotRunReason>(Draw(0, 5)), retry);
           break;
       }
     }
@@ -104,12 +104,12 @@
   const RetrySource retry = [] { return true; };
   AttemptPlan plan(true, { .mMaxServers = 2 });
   plan.OnSent(BackendServerName("a"));
-  CHECK(plan.MayRace(retry));
+  CHECK(plan.MayHedge(retry));
   plan.OnUnknown(retry);
   CHECK(plan.MayAttempt());
   CHECK_FALSE(plan.MayFailNext());
   plan.OnSent(BackendServerName("b"));
-  CHECK_FALSE(plan.MayRace(retry));
+  CHECK_FALSE(plan.MayHedge(retry));
 }
 
 TEST_CASE("Attempts rejected by their home do not count as servers reached")
@@ -119,11 +119,11 @@
   for (const char* name : { "a", "b", "c" }) {
     REQUIRE(plan.MayAttempt());
     plan.OnSent(BackendServerName(name));
-    plan.OnNotRun(BackendServerName(name), Setback::kElsewhere, retry);
+    plan.OnNotRun(BackendServerName(name), NotRunReason::kTryElsewhere, retry);
   }
   CHECK(plan.MayAttempt());
   plan.OnSent(BackendServerName("d"));
-  plan.OnNotRun(BackendServerName("d"), Setback::kOverloaded, retry);
+  plan.OnNotRun(BackendServerName("d"), NotRunReason::kOverloaded, retry);
   CHECK_FALSE(plan.MayAttempt());
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kNotRun);
 }
@@ -135,7 +135,7 @@
   int attempts = 0;
   for (; plan.MayAttempt(); ++attempts) {
     plan.OnSent(Server(attempts));
-    plan.OnNotRun(Server(attempts), Setback::kFull, kAlways);
+    plan.OnNotRun(Server(attempts), NotRunReason::kNoCapacity, kAlways);
   }
   CHECK(attempts == 4);
   CHECK(plan.OutcomeWithoutAnswer() == Outcome::kNotRun);
@@ -147,11 +147,11 @@
   const RetrySource retry = [&] { return ++retries > 0; };
   AttemptPlan plan(true, { .mMaxServers = 3 });
   plan.OnSent(Server(1));
-  REQUIRE(plan.MayRace(retry));
+  REQUIRE(plan.MayHedge(retry));
   plan.OnSent(Server(2));
   plan.OnUnknown(retry);
   CHECK(retries == 1);
-  CHECK_FALSE(plan.MayRace(retry)); // the other attempt decides
+  CHECK_FALSE(plan.MayHedge(retry)); // the other attempt decides
   plan.OnAnswered(false, retry);
   CHECK(retries == 1);
   CHECK_FALSE(plan.MayAttempt());
@@ -161,7 +161,7 @@
 {
   AttemptPlan plan(true, { .mMaxServers = 2 });
   plan.OnSent(Server(1));
-  REQUIRE(plan.MayRace(kAlways));
+  REQUIRE(plan.MayHedge(kAlways));
   plan.OnSent(Server(2));
-  CHECK_FALSE(plan.MayRace(kAlways));
+  CHECK_FALSE(plan.MayHedge(kAlways));
 }
--- a/packages/policy/tests/BalancerTest.cpp
+++ b/packages/policy/tests/BalancerTest.cpp
@@ -26,13 +26,13 @@
 TEST_CASE("ChooseServer uses avoided servers only when none is open")
 {
   std::array<Candidate, 3> servers;
-  servers[0].mStanding = Standing::kAvoid;
-  servers[1].mStanding = Standing::kClosed;
-  servers[2].mStanding = Standing::kOpen;
+  servers[0].mEligibility = Eligibility::kAvoid;
+  servers[1].mEligibility = Eligibility::kClosed;
+  servers[2].mEligibility = Eligibility::kOpen;
   CHECK(ChooseServer(servers, {}, 3, 5) == 2U);
-  servers[2].mStanding = Standing::kTried;
+  servers[2].mEligibility = Eligibility::kTried;
   CHECK(ChooseServer(servers, {}, 3, 5) == 0U);
-  servers[0].mStanding = Standing::kTried;
+  servers[0].mEligibility = Eligibility::kTried;
   CHECK_FALSE(ChooseServer(servers, {}, 3, 5).has_value());
 }
 
@@ -41,12 +41,12 @@
   // Guards against choosing an unreachable server over an avoided one, which
   // costs the request a timeout of 150 ms for each dead box.
   std::array<Candidate, 3> servers;
-  servers[0].mStanding = Standing::kUnreachable;
-  servers[1].mStanding = Standing::kAvoid;
-  servers[2].mStanding = Standing::kTried;
+  servers[0].mEligibility = Eligibility::kUnreachable;
+  servers[1].mEligibility = Eligibility::kAvoid;
+  servers[2].mEligibility = Eligibility::kTried;
   for (std::uint64_t draw = 0; draw < 6; ++draw) {
     CHECK(ChooseServer(servers, {}, draw, draw + 1) == 1U);
   }
-  servers[1].mStanding = Standing::kTried;
+  servers[1].mEligibility = Eligibility::kTried;
   CHECK_FALSE(ChooseServer(servers, {}, 3, 5).has_value());
 }
--- a/packages/policy/tests/BatcherTest.cpp
+++ b/packages/policy/tests/BatcherTest.cpp
@@ -1,6 +1,6 @@
 #include "porttiller/policy/Batcher.h"
 
-#include "porttiller/policy/Spread.h"
+#include "porttiller/policy/GossipFanout.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -154,7 +154,7 @@
     mEvents.push({ aMs, mOrder++, aBox, std::move(aRecords), aOwnRecord });
   }
 
-  void Send(int aFrom, const std::vector<int>& aRecords, SpreadOptions aSpread)
+  void Send(int aFrom, const std::vector<int>& aRecords, GossipFanout aSpread)
   {
     const auto& zone = mZones[static_cast<std::size_t>(aFrom)];
     for (const auto to : ChooseReceivers(mZones, zone, aSpread, mRandom())) {
--- a/packages/policy/tests/DetectorTest.cpp
+++ b/packages/policy/tests/CusumDetectorTest.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/policy/Detector.h"
+#include "porttiller/policy/CusumDetector.h"
 
 #include <doctest/doctest.h>
 #include <random>
@@ -13,7 +13,7 @@
 // is none.
 template<typename Draw>
 int
-RequestsToAlarm(Detector& aDetector, int aMaxRequests, Draw aDraw)
+RequestsToAlarm(CusumDetector& aDetector, int aMaxRequests, Draw aDraw)
 {
   for (int i = 1; i <= aMaxRequests; ++i) {
     aDetector.Observe(aDraw(), true, TimePoint(i * kRequestInterval));
@@ -41,7 +41,7 @@
 {
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
     std::mt19937_64 random(seed);
-    Detector detector({ .mThreshold = 12.0 });
+    CusumDetector detector({ .mThreshold = 12.0 });
     CHECK(RequestsToAlarm(
             detector, 1000, [&] { return Answer(random, 0.5, 10.0); }) <= 34);
   }
@@ -51,7 +51,7 @@
 {
   for (const double threshold : { 12.0, 24.0 }) {
     std::mt19937_64 random(7);
-    Detector detector({ .mThreshold = threshold });
+    CusumDetector detector({ .mThreshold = threshold });
     CHECK(RequestsToAlarm(detector, 300'000, [&] {
             return Answer(random, 0.001, 10.0);
           }) == 300'001);
@@ -61,7 +61,7 @@
 TEST_CASE("A server that turns slow is detected against its own median")
 {
   std::mt19937_64 random(3);
-  Detector detector({ .mThreshold = 24.0 });
+  CusumDetector detector({ .mThreshold = 24.0 });
   for (int i = 0; i < 500; ++i) {
     detector.Observe(
       Answer(random, 0.0, 10.0), true, TimePoint(i * kRequestInterval));
@@ -77,7 +77,7 @@
   "A failure of one request class in ten is detected by the sum of that class")
 {
   std::mt19937_64 random(5);
-  Detector detector({ .mThreshold = 24.0 });
+  CusumDetector detector({ .mThreshold = 24.0 });
   std::uint32_t call = 0;
   CHECK(RequestsToAlarm(detector, 1000, [&] {
           call = (call + 1) % 10;
--- a/packages/policy/tests/EjectionLedgerTest.cpp
+++ b/packages/policy/tests/EjectionLedgerTest.cpp
@@ -128,7 +128,7 @@
   {
     const auto own = Entry(mIndex, mIncarnation);
     const auto clean =
-      aStore.mLedger.WithoutEarlierLives(own.mBox, own.mIncarnation);
+      aStore.mLedger.WithoutEarlierIncarnations(own.mBox, own.mIncarnation);
     const auto next = clean.WithEjection(own, aView);
     if (!next) {
       if (!aStore.mLedger.Holds(own.mServer, own.mIncarnation)) {
@@ -218,10 +218,10 @@
   REQUIRE(one.has_value());
   CHECK(one->WithEjection(Entry(1), view).error() == FloorError::kFloor);
   // Ejected and dead: no further capacity is lost.
-  view.mServers[0].mGone = true;
+  view.mServers[0].mDeparted = true;
   CHECK(one->Excess(view).empty());
-  view.mServers[2].mGone = true;
-  view.mServers[0].mGone = false;
+  view.mServers[2].mDeparted = true;
+  view.mServers[0].mDeparted = false;
   REQUIRE(one->Excess(view).size() == 1);
   CHECK(one->Excess(view)[0] == Entry(0));
 }
@@ -230,7 +230,8 @@
   "A new incarnation clears the entries of the box's earlier incarnations")
 {
   const EjectionLedger ledger({ Entry(0, 1), Entry(1, 1) });
-  const auto next = ledger.WithoutEarlierLives(BoxName("b0"), Incarnation(2));
+  const auto next =
+    ledger.WithoutEarlierIncarnations(BoxName("b0"), Incarnation(2));
   CHECK(next.Entries() == std::vector<LedgerEntry>{ Entry(1, 1) });
 }
 
@@ -265,7 +266,7 @@
       Step(homes, store, view, now);
     }
     const auto dead = Draw<std::size_t>(0, kHomes);
-    view.mServers[dead].mGone = true;
+    view.mServers[dead].mDeparted = true;
     store.mInFlight.clear();
     for (int round = 0; round < 100; ++round) {
       now += Millis(100);
--- a/packages/policy/tests/EjectionMachineTest.cpp
+++ b/packages/policy/tests/EjectionMachineTest.cpp
@@ -86,8 +86,8 @@
 {
   Fixture f;
   f.Demote();
-  CHECK(f.mMachine.Gate(true, false, f.mNow) == GateVerdict::kDemoted);
-  CHECK(f.mMachine.Gate(false, true, f.mNow) == GateVerdict::kAdmit);
+  CHECK(f.mMachine.Gate(true, false, f.mNow) == AdmissionVerdict::kDemoted);
+  CHECK(f.mMachine.Gate(false, true, f.mNow) == AdmissionVerdict::kAdmit);
   CHECK_FALSE(f.mMachine.Ejected());
 }
 
@@ -102,7 +102,7 @@
   f.Advance(Millis(1100));
   f.mMachine.OnPermission(PermissionAnswer::kGranted, f.mNow);
   CHECK(f.mMachine.Ejected());
-  CHECK(f.mMachine.Gate(true, true, f.mNow) == GateVerdict::kEjected);
+  CHECK(f.mMachine.Gate(true, true, f.mNow) == AdmissionVerdict::kEjected);
 }
 
 TEST_CASE("A fault that other homes see too removes no server from rotation")
@@ -114,7 +114,7 @@
   f.Poll({ kSuspiciousPeer, kSuspiciousPeer, kHealthyPeer });
   f.Poll({ kHealthyPeer, kHealthyPeer, kHealthyPeer });
   CHECK(f.mMachine.Phase() == ServerPhase::kAsking);
-  CHECK(f.mMachine.Gate(false, false, f.mNow) == GateVerdict::kAdmit);
+  CHECK(f.mMachine.Gate(false, false, f.mNow) == AdmissionVerdict::kAdmit);
 }
 
 TEST_CASE(
@@ -147,9 +147,9 @@
   f.Eject();
   f.Advance(Millis(3100));
   REQUIRE(f.mMachine.Phase() == ServerPhase::kProbation);
-  CHECK(f.mMachine.Gate(false, false, f.mNow) == GateVerdict::kEjected);
-  CHECK(f.mMachine.Gate(true, false, f.mNow) == GateVerdict::kAdmit);
-  CHECK(f.mMachine.Gate(true, false, f.mNow) == GateVerdict::kEjected);
+  CHECK(f.mMachine.Gate(false, false, f.mNow) == AdmissionVerdict::kEjected);
+  CHECK(f.mMachine.Gate(true, false, f.mNow) == AdmissionVerdict::kAdmit);
+  CHECK(f.mMachine.Gate(true, false, f.mNow) == AdmissionVerdict::kEjected);
 }
 
 TEST_CASE("The permission is released only after the server works again")
@@ -193,7 +193,7 @@
   Fixture f;
   f.Eject();
   f.mMachine.OnFloorBroken(f.mNow);
-  CHECK(f.mMachine.Gate(false, false, f.mNow) == GateVerdict::kAdmit);
+  CHECK(f.mMachine.Gate(false, false, f.mNow) == AdmissionVerdict::kAdmit);
   f.Advance(kTick);
   CHECK(f.mReleased);
 }
--- a/packages/policy/tests/SpreadTest.cpp
+++ b/packages/policy/tests/GossipFanoutTest.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/policy/Spread.h"
+#include "porttiller/policy/GossipFanout.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
--- a/packages/policy/tests/MembershipTest.cpp
+++ b/packages/policy/tests/MembershipTest.cpp
@@ -1,5 +1,5 @@
 #include "porttiller/policy/Membership.h"
-#include "porttiller/policy/Spread.h"
+#include "porttiller/policy/GossipFanout.h"
 
 #include "FuzzDraw.h"
 
@@ -195,9 +195,9 @@
   a.OnReached(kBoxes[1], Incarnation(2));
   a.OnNotReached(kBoxes[1], kStart);
   a.OnTick(kStart + Millis(3000));
-  a.OnNewLife(kBoxes[1], Incarnation(2));
+  a.OnNewIncarnation(kBoxes[1], Incarnation(2));
   CHECK(a.StateOf(kBoxes[1]) == MemberState::kDead);
-  a.OnNewLife(kBoxes[1], Incarnation(3));
+  a.OnNewIncarnation(kBoxes[1], Incarnation(3));
   CHECK(a.StateOf(kBoxes[1]) == MemberState::kAlive);
   CHECK(a.PathWorks(kBoxes[1]));
 }
@@ -310,7 +310,8 @@
     nodes.emplace_back(box, Incarnation(1));
     nodes.back().SetBoxes(boxes);
     for (const auto& other : boxes) {
-      nodes.back().OnNewLife(other, Incarnation(1)); // as from their records
+      nodes.back().OnNewIncarnation(other,
+                                    Incarnation(1)); // as from their records
     }
   }
   nodes[0].Leave();
@@ -371,7 +372,7 @@
     nodes.back().SetBoxes(boxes);
     zones.emplace_back("zone-" + std::to_string(i % kZones));
     for (const auto& other : boxes) {
-      nodes.back().OnNewLife(other, Incarnation(1));
+      nodes.back().OnNewIncarnation(other, Incarnation(1));
     }
   }
   nodes[7].OnNotReached(boxes[0], kStart);
--- a/packages/policy/tests/RetryShareTest.cpp
+++ b/packages/policy/tests/RetryShareTest.cpp
@@ -71,7 +71,8 @@
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
-    const auto replay = RunReplay(HomeShareOf(UsedOf(kFleet), kHomes), seed);
+    const auto replay =
+      RunReplay(HomeShareOf(UsablePartOf(kFleet), kHomes), seed);
     CHECK(replay.mRejectedShare < 0.01);
     CHECK(replay.mMaxBoundUse < 1.0);
   }
@@ -83,16 +84,17 @@
 {
   // A service's burst of 50 also binds a fleet that allows 630, and leaves each
   // home less than one repeat.
-  const auto tight = Tighter(UsedOf(kFleet), { .mShare = 0.2, .mBurst = 50.0 });
+  const auto tight =
+    Tighter(UsablePartOf(kFleet), { .mShare = 0.2, .mBurst = 50.0 });
   CHECK(tight.mBurst == 50.0);
   CHECK(HomeShareOf(tight, kHomes).mBurst < 1.0);
   CHECK(RunReplay(HomeShareOf(tight, kHomes), 1).mRejectedShare >
-        RunReplay(HomeShareOf(UsedOf(kFleet), kHomes), 1).mRejectedShare);
+        RunReplay(HomeShareOf(UsablePartOf(kFleet), kHomes), 1).mRejectedShare);
 }
 
 TEST_CASE("All homes together stay within the bound under any demand")
 {
-  auto home = HomeShareOf(UsedOf(kFleet), kHomes);
+  auto home = HomeShareOf(UsablePartOf(kFleet), kHomes);
   const double perSecond = kHomes * kHomeRequestsPerS;
   const double most = kHomes * home.mBurst +
                       home.mSavedShare * perSecond * kWindowS +
--- a/packages/policy/tests/SilenceDetectorTest.cpp
+++ b/packages/policy/tests/SilenceDetectorTest.cpp
@@ -97,7 +97,7 @@
 {
   for (std::uint64_t i = 1; i < 6; ++i) {
     Start(i);
-    mDetector.OnGivenUp(Attempt(i), kStart + kOverdueTime);
+    mDetector.OnAbandoned(Attempt(i), kStart + kOverdueTime);
   }
   REQUIRE(Alarms(kOverdueTime));
   Start(7, kOverdueTime);
--- a/packages/policy/tests/SubsetTest.cpp
+++ b/packages/policy/tests/SubsetTest.cpp
@@ -42,7 +42,7 @@
   for (const auto& other : aEntries) {
     if (ZoneOf(other) == ZoneOf(aEntry)) {
       ++place.mEntries;
-      place.mRank += RingPlace(other) < RingPlace(aEntry) ? 1 : 0;
+      place.mRank += RingPosition(other) < RingPosition(aEntry) ? 1 : 0;
     }
   }
   return place;
@@ -55,7 +55,7 @@
   std::vector<SubsetServer> servers;
   servers.reserve(aFleet.mServers.size());
   for (const auto& server : aFleet.mServers) {
-    servers.push_back({ .mPlace = RingPlace(server),
+    servers.push_back({ .mPlace = RingPosition(server),
                         .mSameZone = ZoneOf(server) == ZoneOf(aEntry) });
   }
   const auto subset = ChooseSubset(servers, PlaceOf(aEntry, aFleet.mEntries));
--- a/packages/policy/tests/WatchTurnsTest.cpp
+++ b/packages/policy/tests/WatchScheduleTest.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/policy/WatchTurns.h"
+#include "porttiller/policy/WatchSchedule.h"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -18,7 +18,7 @@
 {
   std::vector<Millis> ends;
   for (std::size_t rank = aRejected; rank < aWatchers; ++rank) {
-    WatchTurns turns({ .mStep = kStep });
+    WatchSchedule turns({ .mStep = kStep });
     for (Millis at{ 0 }; at < kDuration;) {
       at += turns.NextWait({ .mRank = rank, .mCount = aWatchers });
       ends.push_back(at);
@@ -61,7 +61,7 @@
 
 TEST_CASE("Turns start again after a change and at another position")
 {
-  WatchTurns turns({ .mStep = kStep });
+  WatchSchedule turns({ .mStep = kStep });
   const WatchPlace second{ .mRank = 1, .mCount = 3 };
   CHECK(turns.NextWait(second) == 2 * kStep);
   CHECK(turns.NextWait(second) == 3 * kStep);
--- a/packages/policy/tests/WorkspaceLimitTest.cpp
+++ b/packages/policy/tests/WorkspaceLimitTest.cpp
@@ -73,7 +73,7 @@
   CHECK(uses[0].mAdmitted == 20);
   CHECK(uses[0].mOffered[static_cast<std::size_t>(Priority::kNormal)] == 20);
   CHECK(gate.TakeUnreportedUse(kStart).empty());
-  gate.GiveBack(kName);
+  gate.Refund(kName);
   CHECK(gate.TakeUnreportedUse(kStart).at(0).mAdmitted == -1);
 }
 
@@ -124,7 +124,7 @@
     gate.OnGrants({}, false, now);
     admitted += AdmittedOf(gate, 10, now);
   }
-  CHECK(admitted <= 5 * 10 + 10 + SpareOf(kLimit, {}));
+  CHECK(admitted <= 5 * 10 + 10 + ToleranceOf(kLimit, {}));
   CHECK(admitted >= 5 * 10 + 10);
 }
 
@@ -190,21 +190,21 @@
   const auto asked = reporter.Next(gate, kCollectors, kStart);
   REQUIRE(asked);
   CHECK(asked->mCollector == kCollectors[0]);
-  CHECK(asked->mQuestion != 0);
+  CHECK(asked->mReplyToken != 0);
   AdmittedOf(gate, 2, kStart);
   const auto next = reporter.Next(gate, kCollectors, kStart + Millis(250));
   REQUIRE(next);
-  CHECK(next->mQuestion == 0);
+  CHECK(next->mReplyToken == 0);
   // No reply: all five go to the second collector.
-  reporter.OnReply(asked->mQuestion, false, kStart + Millis(400));
+  reporter.OnReply(asked->mReplyToken, false, kStart + Millis(400));
   const auto again = reporter.Next(gate, kCollectors, kStart + Millis(500));
   REQUIRE(again);
   CHECK(again->mCollector == kCollectors[1]);
   CHECK(AdmittedIn(again->mUses) == 5);
   // A late reply of the first collector confirms nothing.
-  reporter.OnReply(asked->mQuestion, true, kStart + Millis(510));
+  reporter.OnReply(asked->mReplyToken, true, kStart + Millis(510));
   // No reply again: the five are not sent a third time, new counts are.
-  reporter.OnReply(again->mQuestion, false, kStart + Millis(900));
+  reporter.OnReply(again->mReplyToken, false, kStart + Millis(900));
   AdmittedOf(gate, 1, kStart);
   const auto third = reporter.Next(gate, kCollectors, kStart + Millis(1000));
   REQUIRE(third);
--- a/packages/store/include/porttiller/store/ObjectClient.h
+++ b/packages/store/include/porttiller/store/ObjectClient.h
@@ -27,11 +27,12 @@
   Millis mTimeout{ 3000 };
   // A read over a reused connection that has no answer after this is sent again
   // over a new one. A watch gets the time of its long poll in addition.
-  Millis mKeptPatience{ 500 };
+  Millis mReusedReadTimeout{ 500 };
   StoreDialect mDialect;
   // A read over a reused connection failed after aWaited and is sent again.
   // Called on the reading thread.
-  std::function<void(Millis aWaited, const std::string& aDetail)> mOnKeptFailed;
+  std::function<void(Millis aWaited, const std::string& aDetail)>
+    mOnReusedReadFailed;
 };
 
 // One keep-alive connection, replaced when it fails. A NAT or a firewall on the
--- a/packages/store/include/porttiller/store/SettledWrite.h
+++ b/packages/store/include/porttiller/store/WriteWithReadBack.h
@@ -11,9 +11,9 @@
 // names the writer in its spec, so that their writes differ. Returns kAmbiguous
 // only if the outcome is still unknown after that.
 tl::expected<std::uint64_t, StoreError>
-WriteSettled(ObjectClient& aClient,
-             const ObjectKey& aKey,
-             std::uint64_t aVersion,
-             const std::string& aSpec);
+WriteWithReadBack(ObjectClient& aClient,
+                  const ObjectKey& aKey,
+                  std::uint64_t aVersion,
+                  const std::string& aSpec);
 
 } // namespace porttiller
--- a/packages/store/src/ObjectClient.cpp
+++ b/packages/store/src/ObjectClient.cpp
@@ -146,14 +146,15 @@
   if (isRead && IsConnected()) {
     const auto begin = Now();
     const auto readTimeout =
-      std::min(mOptions.mKeptPatience, mOptions.mTimeout);
+      std::min(mOptions.mReusedReadTimeout, mOptions.mTimeout);
     auto answer = SendOnce(aCall, aExtraWait + readTimeout);
     if (answer || IsConnected()) {
       return answer; // an error is then the store's own answer
     }
-    if (mOptions.mOnKeptFailed) {
-      mOptions.mOnKeptFailed(std::chrono::duration_cast<Millis>(Now() - begin),
-                             answer.error().mDetail);
+    if (mOptions.mOnReusedReadFailed) {
+      mOptions.mOnReusedReadFailed(
+        std::chrono::duration_cast<Millis>(Now() - begin),
+        answer.error().mDetail);
     }
   }
   return SendOnce(aCall, aExtraWait + mOptions.mTimeout);
--- a/packages/store/src/SettledWrite.cpp
+++ b/packages/store/src/WriteWithReadBack.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/store/SettledWrite.h"
+#include "porttiller/store/WriteWithReadBack.h"
 
 #include "porttiller/config/JsonText.h"
 
@@ -62,10 +62,10 @@
 } // namespace
 
 tl::expected<std::uint64_t, StoreError>
-WriteSettled(ObjectClient& aClient,
-             const ObjectKey& aKey,
-             std::uint64_t aVersion,
-             const std::string& aSpec)
+WriteWithReadBack(ObjectClient& aClient,
+                  const ObjectKey& aKey,
+                  std::uint64_t aVersion,
+                  const std::string& aSpec)
 {
   auto written = WriteOnce(aClient, aKey, aVersion, aSpec);
   if (written || written.error().mKind != StoreErrorKind::kAmbiguous) {
--- a/packages/store/tests/SilentConnectionTest.cpp
+++ b/packages/store/tests/SilentConnectionTest.cpp
@@ -47,8 +47,8 @@
   ObjectClient client(
     { .mAddress = f.mLink.Address(),
       .mTimeout = Millis(1000),
-      .mKeptPatience = Millis(50),
-      .mOnKeptFailed = [&](Millis, const std::string&) { ++failures; } });
+      .mReusedReadTimeout = Millis(50),
+      .mOnReusedReadFailed = [&](Millis, const std::string&) { ++failures; } });
   REQUIRE(client.ListConfiguration().has_value());
   f.mLink.SilenceBackward();
   CHECK(client.ListConfiguration().has_value());
--- a/packages/store/tests/SettledWriteTest.cpp
+++ b/packages/store/tests/WriteWithReadBackTest.cpp
@@ -1,4 +1,4 @@
-#include "porttiller/store/SettledWrite.h"
+#include "porttiller/store/WriteWithReadBack.h"
 
 #include "standin/PlatformStandIn.h"
 
@@ -29,12 +29,13 @@
 {
   Fixture f;
   f.mPlatform.LoseWriteAnswers(1);
-  const auto created = WriteSettled(f.mClient, kKey, 0, R"({"writer":"a/1"})");
+  const auto created =
+    WriteWithReadBack(f.mClient, kKey, 0, R"({"writer":"a/1"})");
   REQUIRE(created.has_value());
   CHECK(f.mPlatform.Writes() == 1);
   f.mPlatform.LoseWriteAnswers(1);
   const auto updated =
-    WriteSettled(f.mClient, kKey, *created, R"({"writer":"a/2"})");
+    WriteWithReadBack(f.mClient, kKey, *created, R"({"writer":"a/2"})");
   REQUIRE(updated.has_value());
   CHECK(*updated > *created);
   CHECK(f.mPlatform.Writes() == 2);
@@ -44,7 +45,8 @@
 {
   Fixture f;
   f.mPlatform.LoseWrites(1);
-  CHECK(WriteSettled(f.mClient, kKey, 0, R"({"writer":"a/1"})").has_value());
+  CHECK(
+    WriteWithReadBack(f.mClient, kKey, 0, R"({"writer":"a/1"})").has_value());
   CHECK(f.mPlatform.Writes() == 1);
 }
 
@@ -52,9 +54,10 @@
 {
   Fixture f;
   const auto version = f.mPlatform.Put(kKey, R"({"writer":"x"})");
-  CHECK(WriteSettled(f.mClient, kKey, version, R"({"writer":"a"})"));
+  CHECK(WriteWithReadBack(f.mClient, kKey, version, R"({"writer":"a"})"));
   f.mPlatform.LoseWriteAnswers(1);
-  const auto late = WriteSettled(f.mClient, kKey, version, R"({"writer":"b"})");
+  const auto late =
+    WriteWithReadBack(f.mClient, kKey, version, R"({"writer":"b"})");
   REQUIRE_FALSE(late.has_value());
   CHECK(late.error().mKind == StoreErrorKind::kConflict);
   CHECK(f.mPlatform.SpecOf(kKey) == R"({"writer":"a"})");
--- a/packages/telemetry/include/porttiller/telemetry/Metrics.h
+++ b/packages/telemetry/include/porttiller/telemetry/Metrics.h
@@ -4,7 +4,7 @@
 #include "porttiller/config/ObjectSet.h"
 #include "porttiller/config/UnreadableObject.h"
 #include "porttiller/core/Outcome.h"
-#include "porttiller/core/Refusal.h"
+#include "porttiller/core/RejectReason.h"
 
 #include <array>
 #include <memory>
@@ -23,14 +23,14 @@
   Metrics();
 
   void CountRequest(Outcome aOutcome);
-  void CountRefusal(Refusal aRefusal);
+  void CountRefusal(RejectReason aRejectReason);
   // An object of the store or a record of a peer that was skipped.
   void CountUnreadable(UnreadableReason aReason);
   // A configuration delta that was not applied.
   void CountRefusedDelta(ApplyError aError);
   prometheus::Counter& Retries() { return *mRetries; }
   // Hedges: attempts at a second server while the first one is unusually slow.
-  prometheus::Counter& Races() { return *mRaces; }
+  prometheus::Counter& HedgedAttempts() { return *mHedgedAttempts; }
   prometheus::Counter& Revokes() { return *mRevokes; }
   // Requests rejected with 429 because their workspace is over its limit.
   prometheus::Counter& OverLimit() { return *mOverLimit; }
@@ -60,11 +60,11 @@
 private:
   std::shared_ptr<prometheus::Registry> mRegistry;
   std::array<prometheus::Counter*, 3> mRequests{};
-  std::array<prometheus::Counter*, kRefusalCount> mRefusals{};
+  std::array<prometheus::Counter*, kRejectReasonCount> mRefusals{};
   std::array<prometheus::Counter*, kUnreadableReasonCount> mUnreadable{};
   std::array<prometheus::Counter*, kApplyErrorCount> mRefusedDeltas{};
   prometheus::Counter* mRetries;
-  prometheus::Counter* mRaces;
+  prometheus::Counter* mHedgedAttempts;
   prometheus::Counter* mRevokes;
   prometheus::Counter* mOverLimit;
   prometheus::Counter* mDroppedAnswers;
--- a/packages/telemetry/src/Metrics.cpp
+++ b/packages/telemetry/src/Metrics.cpp
@@ -44,9 +44,9 @@
   , mRetries(MakeCounter(*mRegistry,
                          "porttiller_retries_total",
                          "Second and later attempts"))
-  , mRaces(MakeCounter(*mRegistry,
-                       "porttiller_races_total",
-                       "Attempts sent while an earlier one took long"))
+  , mHedgedAttempts(MakeCounter(*mRegistry,
+                                "porttiller_races_total",
+                                "Attempts sent while an earlier one took long"))
   , mRevokes(MakeCounter(*mRegistry,
                          "porttiller_revokes_total",
                          "Attempts whose home was asked to revoke them"))
@@ -116,7 +116,7 @@
   auto& refusals = CounterFamily(
     *mRegistry, "porttiller_refusals_total", "Attempts that homes refused");
   for (std::size_t i = 0; i < mRefusals.size(); ++i) {
-    const auto refusal = static_cast<Refusal>(i);
+    const auto refusal = static_cast<RejectReason>(i);
     mRefusals.at(i) =
       &refusals.Add({ { "reason", std::string(ToText(refusal)) } });
   }
@@ -146,9 +146,9 @@
 }
 
 void
-Metrics::CountRefusal(Refusal aRefusal)
+Metrics::CountRefusal(RejectReason aRejectReason)
 {
-  mRefusals.at(static_cast<std::size_t>(aRefusal))->Increment();
+  mRefusals.at(static_cast<std::size_t>(aRejectReason))->Increment();
 }
 
 void
--- a/testing/fleet/MeshFleet.cpp
+++ b/testing/fleet/MeshFleet.cpp
@@ -60,7 +60,7 @@
     StartBox(box, true);
   }
   for (int box = 0; box < mOptions.mBoxes; ++box) {
-    if (!WaitUntil(kStartWait, [&] { return Server(box).Beat(); })) {
+    if (!WaitUntil(kStartWait, [&] { return Server(box).SendHeartbeat(); })) {
       throw std::runtime_error(
         "a box did not acknowledge the heartbeat of its server");
     }
--- a/testing/fleet/MeshFleet.h
+++ b/testing/fleet/MeshFleet.h
@@ -62,7 +62,7 @@
   // Stops the server of a box and starts one with another id at its address.
   void ReplaceServer(int aBox);
   // Stops the server of a box without a message and starts it again under its
-  // id. Its next Beat reports the new start time.
+  // id. Its next SendHeartbeat reports the new start time.
   void RestartServer(int aBox);
 
   void StartBox(int aBox, bool aFirstStart = false);
