--- a/testing/fleet/tests/DirectoryStartTest.cpp
+++ b/testing/fleet/tests/DirectoryStartTest.cpp
@@ -92,7 +92,7 @@
       .mOnServerLeaving = [](const ServerIncarnation&) {},
       .mRandomPeers = [](std::size_t) { return std::vector<BoxSpec>{}; },
       .mSpreadPeers =
-        [](const SpreadOptions&) { return std::vector<BoxSpec>{}; } });
+        [](const GossipFanout&) { return std::vector<BoxSpec>{}; } });
   controller.OnRecords(EncodeRecords({ other }));
   REQUIRE(WaitUntil(kWait, [&] { return published.HasServerOf("other"); }));
   CHECK_FALSE(published.HasServerOf("own"));
@@ -126,7 +126,7 @@
       .mOnServerLeaving = [](const ServerIncarnation&) {},
       .mRandomPeers = [](std::size_t) { return std::vector<BoxSpec>{}; },
       .mSpreadPeers =
-        [&](const SpreadOptions&) {
+        [&](const GossipFanout&) {
           ++forwards;
           return std::vector<BoxSpec>{};
         } });
--- a/testing/fleet/tests/MeshFleetTest.cpp
+++ b/testing/fleet/tests/MeshFleetTest.cpp
@@ -42,7 +42,7 @@
   "A draining server gets no request after its ack, even if its box dies")
 {
   MeshFleet fleet(3, kPortBase);
-  REQUIRE(fleet.Server(0).Beat("draining"));
+  REQUIRE(fleet.Server(0).SendHeartbeat("draining"));
   CHECK(fleet.Store().SpecOf({ "box-records", "box-0" }).find("draining") !=
         std::string::npos);
   const auto check = [&](const std::string& aPrefix) {
@@ -59,7 +59,8 @@
   fleet.StartBox(0);
   // A late heartbeat from before the drain must not bring the server back into
   // use in the box's next incarnation.
-  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(0).BeatLate(); }));
+  REQUIRE(
+    WaitUntil(kWait, [&] { return fleet.Server(0).SendLateHeartbeat(); }));
   REQUIRE(fleet.WaitServers(2));
   check("b-");
 }
@@ -68,7 +69,7 @@
 {
   MeshFleet fleet(3, kPortBase);
   fleet.Store().SetDown(true);
-  REQUIRE(fleet.Server(0).Beat("draining"));
+  REQUIRE(fleet.Server(0).SendHeartbeat("draining"));
   CHECK(fleet.WaitServers(2));
   fleet.Store().SetDown(false);
   CHECK(WaitUntil(kWait, [&] {
@@ -86,7 +87,7 @@
   fleet.SignalBox(2, SIGKILL);
   fleet.WaitForBoxExit(2, kWait);
   fleet.StartBox(2);
-  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(2).Beat(); }));
+  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(2).SendHeartbeat(); }));
   CHECK(fleet.WaitServers(3));
   CHECK(WaitUntil(kWait, [&] { return fleet.Ready(2); }));
   CHECK(fleet.Send(2, "POST", "/once/x", "away").mStatus == 200);
@@ -103,7 +104,7 @@
 TEST_CASE("A change takes effect on every box and stays without the store")
 {
   MeshFleet fleet(3, kPortBase);
-  fleet.Store().ForgetHistory();
+  fleet.Store().CompactHistory();
   fleet.Configure("/extra/");
   for (int box = 0; box < 3; ++box) {
     CHECK(WaitUntil(kWait, [&] {
@@ -274,7 +275,7 @@
   SUBCASE("while ready") {}
   SUBCASE("while draining")
   {
-    REQUIRE(fleet.Server(0).Beat("draining"));
+    REQUIRE(fleet.Server(0).SendHeartbeat("draining"));
     REQUIRE(fleet.WaitServers(2));
   }
   SUBCASE("after it left")
@@ -284,26 +285,26 @@
   }
   SUBCASE("while the store is unavailable")
   {
-    REQUIRE(fleet.Server(0).Beat("draining"));
+    REQUIRE(fleet.Server(0).SendHeartbeat("draining"));
     REQUIRE(fleet.WaitServers(2));
     fleet.Store().SetDown(true);
   }
   fleet.RestartServer(0);
-  REQUIRE(fleet.Server(0).Beat());
+  REQUIRE(fleet.Server(0).SendHeartbeat());
   CHECK(fleet.WaitServers(3));
   CHECK(runsAtServer("first-"));
   // Two restarts in a row.
   fleet.RestartServer(0);
-  REQUIRE(fleet.Server(0).Beat());
+  REQUIRE(fleet.Server(0).SendHeartbeat());
   fleet.RestartServer(0);
-  REQUIRE(fleet.Server(0).Beat());
+  REQUIRE(fleet.Server(0).SendHeartbeat());
   CHECK(runsAtServer("second-"));
   // The box restarts and learns the newest start, not an older one.
   fleet.SignalBox(0, SIGKILL);
   fleet.WaitForBoxExit(0, kWait);
   fleet.Store().SetDown(false);
   fleet.StartBox(0);
-  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(0).Beat(); }));
+  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(0).SendHeartbeat(); }));
   CHECK(fleet.WaitServers(3));
   CHECK(runsAtServer("third-"));
 }
@@ -315,15 +316,15 @@
   const auto leaveOfFirst =
     R"({"born":)" + std::to_string(*fleet.Server(0).Options().mStartMs) + "}";
   fleet.RestartServer(0);
-  REQUIRE(fleet.Server(0).Beat());
-  CHECK(fleet.Server(0).Tell("instances.leave", leaveOfFirst));
+  REQUIRE(fleet.Server(0).SendHeartbeat());
+  CHECK(fleet.Server(0).SendOneWay("instances.leave", leaveOfFirst));
   // A message without a start time is not from this server, and is not
   // acknowledged.
-  CHECK_FALSE(fleet.Server(0).Tell(
+  CHECK_FALSE(fleet.Server(0).SendOneWay(
     "instances.heartbeat",
     R"({"Service":"ledger","Address":"127.0.0.1:9","Slots":4,)"
     R"("State":"draining","CallSeq":90})"));
-  REQUIRE(fleet.Server(0).Beat());
+  REQUIRE(fleet.Server(0).SendHeartbeat());
   CHECK(fleet.WaitServers(2));
 }
 
@@ -352,7 +353,7 @@
     fleet.StartBox(box);
   }
   for (int box = 0; box < 3; ++box) {
-    CHECK(WaitUntil(kWait, [&] { return fleet.Server(box).Beat(); }));
+    CHECK(WaitUntil(kWait, [&] { return fleet.Server(box).SendHeartbeat(); }));
   }
   CHECK(fleet.WaitServers(3));
   CHECK(WaitUntil(kWait, [&] {
@@ -364,14 +365,14 @@
   CHECK(store.SpecOf({ "box-records", "box-2~1" }).find("i-2") !=
         std::string::npos);
   store.Put({ "config", "main" }, R"({"Routes":7})");
-  REQUIRE(fleet.Server(2).Beat("draining"));
+  REQUIRE(fleet.Server(2).SendHeartbeat("draining"));
   CHECK(fleet.WaitServers(2));
   CHECK(fleet.Send(1, "GET", "/extra/x", "f").mStatus == 200);
   // The restarted box finds its record under the alternative name.
   fleet.SignalBox(2, SIGKILL);
   fleet.WaitForBoxExit(2, kWait);
   fleet.StartBox(2);
-  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(2).Beat(); }));
+  REQUIRE(WaitUntil(kWait, [&] { return fleet.Server(2).SendHeartbeat(); }));
   CHECK(fleet.WaitServers(2));
   fleet.Configure("/later/");
   CHECK(WaitUntil(kWait, [&] {
@@ -392,7 +393,7 @@
                             R"({"Service":"ledger","Address":"127.0.0.1:9",)"
                             R"("Slots":4,"State":"resting","CallSeq":90})" }) {
     CAPTURE(body);
-    CHECK_FALSE(fleet.Server(0).Tell("instances.heartbeat", body));
+    CHECK_FALSE(fleet.Server(0).SendOneWay("instances.heartbeat", body));
   }
   CHECK(fleet.WaitServers(2));
   CHECK(fleet.Send(1, "POST", "/once/x", "h").mStatus == 200);
--- a/testing/soak/Soak.cpp
+++ b/testing/soak/Soak.cpp
@@ -39,7 +39,7 @@
         {
           const std::lock_guard lock(mServerMutexes.at(box));
           if (!mDraining.at(box)) {
-            mFleet.Server(box).Beat();
+            mFleet.Server(box).SendHeartbeat();
           }
         }
         std::this_thread::sleep_for(kHeartbeatInterval);
@@ -137,7 +137,7 @@
       mFleet.ServerLink(box).Silence();
       break;
     case FaultKind::kStoreForgets:
-      mFleet.Store().ForgetHistory();
+      mFleet.Store().CompactHistory();
       break;
     case FaultKind::kStoreLosesWrite:
       mFleet.Store().LoseWriteAnswers(1);
@@ -292,7 +292,8 @@
             store.SpecOf({ "box-records", "box-0" }));
   store.Put({ "config", name }, "99999999999999999999");
   const std::lock_guard lock(mServerMutexes.at(aBox));
-  mFleet.Server(aBox).Tell("instances.heartbeat", R"({"State":"draining"})");
+  mFleet.Server(aBox).SendOneWay("instances.heartbeat",
+                                 R"({"State":"draining"})");
 }
 
 void
@@ -304,7 +305,7 @@
   }
   mDraining.at(aBox) = true;
   auto& server = mFleet.Server(aBox);
-  if (server.Beat("draining")) {
+  if (server.SendHeartbeat("draining")) {
     mObservations.mAcks.push_back({ &server, Now() });
   }
 }
--- a/testing/standin/MeshServerStandIn.cpp
+++ b/testing/standin/MeshServerStandIn.cpp
@@ -110,7 +110,8 @@
 }
 
 bool
-MeshServerStandIn::Tell(const std::string& aCall, const std::string& aBody)
+MeshServerStandIn::SendOneWay(const std::string& aCall,
+                              const std::string& aBody)
 {
   HttpPool pool({ .mAddress = mOptions.mRegistration });
   const auto deadline = Now() + kRpcTimeout;
@@ -148,22 +149,22 @@
 }
 
 bool
-MeshServerStandIn::Beat(const std::string& aState)
+MeshServerStandIn::SendHeartbeat(const std::string& aState)
 {
-  return Tell("instances.heartbeat", HeartbeatBody(aState, ++mSequence));
+  return SendOneWay("instances.heartbeat", HeartbeatBody(aState, ++mSequence));
 }
 
 bool
-MeshServerStandIn::BeatLate()
+MeshServerStandIn::SendLateHeartbeat()
 {
-  return Tell("instances.heartbeat", HeartbeatBody("ready", 1));
+  return SendOneWay("instances.heartbeat", HeartbeatBody("ready", 1));
 }
 
 bool
 MeshServerStandIn::Leave()
 {
-  return Tell("instances.leave",
-              mOptions.mStartMs ? "{" + StartField() + "}" : "");
+  return SendOneWay("instances.leave",
+                    mOptions.mStartMs ? "{" + StartField() + "}" : "");
 }
 
 } // namespace porttiller::standin
--- a/testing/standin/MeshServerStandIn.h
+++ b/testing/standin/MeshServerStandIn.h
@@ -46,12 +46,12 @@
   // Stops listening; the counts of run requests stay readable.
   void Stop() { mListener.reset(); }
   // Sends a heartbeat to its box; true when it was acknowledged.
-  bool Beat(const std::string& aState = "ready");
+  bool SendHeartbeat(const std::string& aState = "ready");
   // Sends a heartbeat with an old sequence number, as if it arrived late.
-  bool BeatLate();
+  bool SendLateHeartbeat();
   bool Leave();
   // Sends a registration call with this body; true when it was acknowledged.
-  bool Tell(const std::string& aCall, const std::string& aBody);
+  bool SendOneWay(const std::string& aCall, const std::string& aBody);
 
   int RunsOf(const std::string& aRequestId) const;
   int Runs() const { return mRuns; }
@@ -75,7 +75,7 @@
   std::string mCallerService;
   std::map<std::string, std::string> mWorkspaces; // by request id
   std::string mSeenHeaders;
-  std::uint64_t mSequence = 10; // above the number that BeatLate sends
+  std::uint64_t mSequence = 10; // above the number that SendLateHeartbeat sends
   std::atomic<int> mRuns{ 0 };
   std::atomic<int> mCancelled{ 0 };
   std::unique_ptr<HttpListener> mListener;
--- a/testing/standin/ObjectStoreStandIn.cpp
+++ b/testing/standin/ObjectStoreStandIn.cpp
@@ -71,7 +71,7 @@
 }
 
 void
-ObjectStoreStandIn::ForgetHistory()
+ObjectStoreStandIn::CompactHistory()
 {
   const std::lock_guard lock(mMutex);
   mCompactedRevision = mRevision;
--- a/testing/standin/ObjectStoreStandIn.h
+++ b/testing/standin/ObjectStoreStandIn.h
@@ -34,7 +34,7 @@
   // Called after each page of a list has been read and before it is sent.
   void OnPage(std::function<void()> aHook) { mOnPage = std::move(aHook); }
   // Watches from an earlier revision than the current one get 410 from now on.
-  void ForgetHistory();
+  void CompactHistory();
 
   // Writes an object without the HTTP API, as an operator. Returns the
   // revision.
