--- a/apps/porttiller/SettingsFile.cpp
+++ b/apps/porttiller/SettingsFile.cpp
@@ -52,8 +52,8 @@
   }
   auto others = aReloaded;
   others.mLogLevel = aInForce.mLogLevel;
-  // Not compared: it is set only at the first start of a box, and later versions
-  // of the file always differ in it.
+  // Not compared: it is set only at the first start of a box, and later
+  // versions of the file always differ in it.
   others.mRegistration.mFirstStart = aInForce.mRegistration.mFirstStart;
   const bool needsStart = ToJsonText(others) != ToJsonText(aInForce);
   LogLine(LogLevel::kInfo, "settings_reloaded")
