--- a/packages/http/include/porttiller/http/HttpListener.h
+++ b/packages/http/include/porttiller/http/HttpListener.h
@@ -47,11 +47,11 @@
 };
 
 const char*
-ToText(ListenerRejection aRejectReason);
+ToText(ListenerRejection aRejection);
 
-// The HTTP status of a refusal, such as 413.
+// The HTTP status of a rejection, such as 413.
 int
-StatusOf(ListenerRejection aRejectReason);
+StatusOf(ListenerRejection aRejection);
 
 struct HttpListenerOptions
 {
@@ -69,7 +69,7 @@
   // Pipelined requests of one connection that are read ahead. Only safe methods
   // run concurrently.
   int mPipelined = 8;
-  // Makes the answer for a refusal; plain text if not set.
+  // Makes the answer for a rejection; plain text if not set.
   std::function<HttpReply(ListenerRejection)> mRefuse;
   // Called with the text of an exception that a handler threw, which is a bug.
   std::function<void(const std::string&)> mOnException;
--- a/packages/http/src/HttpConnectionPriv.cpp
+++ b/packages/http/src/HttpConnectionPriv.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kReadChunk = 16 << 10;
-// Unparsed bytes per connection, after which reading pauses.
-constexpr std::size_t kMaxReadAhead = 64 << 10;
+constexpr std::size_t kReadChunkBytes = 16 << 10;
+// Unparsed input of a connection at which reading pauses.
+constexpr std::size_t kMaxReadAheadBytes = 64 << 10;
 // Lingering close: time for the peer to read the last answer and close. Closing
 // with unread input would send a reset, which can discard that answer.
 constexpr Millis kLingerTimeout{ 1000 };
@@ -30,7 +30,7 @@
 }
 
 ListenerRejection
-RefusalOf(MessageFault aFault)
+RejectionOf(MessageFault aFault)
 {
   switch (aFault) {
     case MessageFault::kHeadTooLarge:
@@ -67,8 +67,8 @@
 void
 HttpConnection::ReadAll(TimePoint aNow)
 {
-  std::array<char, kReadChunk> buffer{};
-  while (mState != State::kClosed && mIn.size() < kMaxReadAhead) {
+  std::array<char, kReadChunkBytes> buffer{};
+  while (mState != State::kClosed && mIn.size() < kMaxReadAheadBytes) {
     int size = 0;
     try {
       size = mSocket.receiveBytes(buffer.data(), buffer.size());
@@ -84,7 +84,7 @@
       return;
     }
     OnBytes({ buffer.data(), static_cast<std::size_t>(size) }, aNow);
-    if (size < static_cast<int>(kReadChunk)) {
+    if (size < static_cast<int>(kReadChunkBytes)) {
       return;
     }
   }
@@ -112,7 +112,7 @@
     }
     const auto used = mReader.Feed(std::string_view(mIn).substr(done));
     if (!used) {
-      Refuse(RefusalOf(used.error()));
+      Reject(RejectionOf(used.error()));
       break;
     }
     done += *used;
@@ -134,14 +134,14 @@
 
 // Answers input that is not an acceptable request, and closes the connection.
 void
-HttpConnection::Refuse(ListenerRejection aRejectReason)
+HttpConnection::Reject(ListenerRejection aRejection)
 {
   mInputEnded = true;
   auto call = std::make_shared<PendingCall>();
   call->mDispatched = true;
   call->mDone = true;
   call->mClose = true;
-  call->mAnswer = MakeRejection(mOptions, aRejectReason).mAnswer;
+  call->mAnswer = MakeRejection(mOptions, aRejection).mAnswer;
   mCalls.push_back(std::move(call));
   Flush();
 }
@@ -282,7 +282,7 @@
   }
   if (mReader.HasStarted()) {
     if (aNow >= mRequestStart + mLimits.mRead) {
-      Refuse(ListenerRejection::kRequestTimeout);
+      Reject(ListenerRejection::kRequestTimeout);
     }
   } else if (aStopping || aNow >= mLastUse + mLimits.mIdle) {
     AbandonLocked();
@@ -293,7 +293,7 @@
 HttpConnection::Interest() const
 {
   const std::lock_guard lock(mMutex);
-  return { .mRead = mIn.size() < kMaxReadAhead,
+  return { .mRead = mIn.size() < kMaxReadAheadBytes,
            .mWrite = !mOut.empty(),
            .mClosed = mState == State::kClosed };
 }
--- a/packages/http/src/HttpConnectionPriv.h
+++ b/packages/http/src/HttpConnectionPriv.h
@@ -81,7 +81,7 @@
   void ReadAll(TimePoint aNow);
   void OnBytes(std::string_view aBytes, TimePoint aNow);
   void Parse(TimePoint aNow);
-  void Refuse(ListenerRejection aRejectReason);
+  void Reject(ListenerRejection aRejection);
   std::vector<PendingCallPtr> TakeRunnable();
   void EndAfterRunning();
   void Flush();
--- a/packages/http/src/HttpExchange.cpp
+++ b/packages/http/src/HttpExchange.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kReadChunk = 16 << 10;
+constexpr std::size_t kReadChunkBytes = 16 << 10;
 constexpr std::string_view kTimeoutField = "timeout=";
 
 ExchangeError
@@ -188,7 +188,7 @@
 HttpExchange::ReadMore()
 {
   auto& connection = *mConnection;
-  std::array<char, kReadChunk> buffer{};
+  std::array<char, kReadChunkBytes> buffer{};
   int size = 0;
   try {
     size = connection.mSocket.receiveBytes(buffer.data(), buffer.size());
--- a/packages/http/src/HttpListener.cpp
+++ b/packages/http/src/HttpListener.cpp
@@ -19,7 +19,7 @@
 
 using Poco::Net::PollSet;
 
-constexpr int kBacklog = 512;
+constexpr int kBacklog = 512; // connections that wait to be accepted
 // Idle worker threads that are kept; a box may have a tenth of a core.
 constexpr int kMinThreads = 1;
 // Idle worker threads above kMinThreads end after this.
@@ -93,7 +93,7 @@
   std::map<Poco::Net::Socket, HttpConnectionPtr> mConnections;
   std::map<Poco::Net::Socket, int> mModes;
   std::mutex mToRearmMutex;
-  std::vector<HttpConnectionPtr> mToRearm; // workers ask to re-arm these
+  std::vector<HttpConnectionPtr> mToRearm; // queued by workers
   std::atomic<int> mOpenCalls{ 0 };
   std::atomic<bool> mDraining{ false };
   std::atomic<bool> mStopping{ false };
@@ -172,11 +172,11 @@
     if (mStopping && IsDrained()) {
       return;
     }
-    const auto rest =
+    const auto timeout =
       mConnections.empty() && !mStopping
         ? kPollTimeoutIdle
         : std::max(Millis(1), std::chrono::ceil<Millis>(nextSweep - Now()));
-    const auto events = mPoll.poll(Poco::Timespan(Micros(rest).count()));
+    const auto events = mPoll.poll(Poco::Timespan(Micros(timeout).count()));
     for (const auto& [socket, modes] : events) {
       OnEvents(socket, modes);
     }
--- a/packages/http/src/HttpPool.cpp
+++ b/packages/http/src/HttpPool.cpp
@@ -158,8 +158,8 @@
   const auto bytes = ToWire(aRequest);
   for (;;) {
     auto connection = TakeIdle();
-    const bool kept = connection != nullptr;
-    if (!kept) {
+    const bool reused = connection != nullptr;
+    if (!reused) {
       auto made = Connect(aDeadline);
       if (!made) {
         Drop();
@@ -173,7 +173,7 @@
       return std::make_unique<HttpExchange>(
         *this, std::move(connection), aRequest.mMethod == "HEAD");
     }
-    if (result == SendResult::kNothingSent && kept) {
+    if (result == SendResult::kNothingSent && reused) {
       continue; // the peer had closed it; try another one
     }
     Drop();
--- a/packages/http/src/ListenerRejection.cpp
+++ b/packages/http/src/ListenerRejection.cpp
@@ -3,9 +3,9 @@
 namespace porttiller {
 
 const char*
-ToText(ListenerRejection aRejectReason)
+ToText(ListenerRejection aRejection)
 {
-  switch (aRejectReason) {
+  switch (aRejection) {
     case ListenerRejection::kMalformed:
       return "malformed-request";
     case ListenerRejection::kHeadTooLarge:
@@ -23,9 +23,9 @@
 }
 
 int
-StatusOf(ListenerRejection aRejectReason)
+StatusOf(ListenerRejection aRejection)
 {
-  switch (aRejectReason) {
+  switch (aRejection) {
     case ListenerRejection::kMalformed:
       return 400;
     case ListenerRejection::kHeadTooLarge:
@@ -43,14 +43,13 @@
 }
 
 HttpReply
-MakeRejection(const HttpListenerOptions& aOptions,
-              ListenerRejection aRejectReason)
+MakeRejection(const HttpListenerOptions& aOptions, ListenerRejection aRejection)
 {
   if (aOptions.mRefuse) {
-    return aOptions.mRefuse(aRejectReason);
+    return aOptions.mRefuse(aRejection);
   }
-  return { .mAnswer = { .mStatus = StatusOf(aRejectReason),
-                        .mBody = std::string(ToText(aRejectReason)) + "\n" } };
+  return { .mAnswer = { .mStatus = StatusOf(aRejection),
+                        .mBody = std::string(ToText(aRejection)) + "\n" } };
 }
 
 } // namespace porttiller
--- a/packages/http/src/ListenerRejectionPriv.h
+++ b/packages/http/src/ListenerRejectionPriv.h
@@ -8,6 +8,6 @@
 // Made by mRefuse of aOptions, or plain text if that is not set.
 HttpReply
 MakeRejection(const HttpListenerOptions& aOptions,
-              ListenerRejection aRejectReason);
+              ListenerRejection aRejection);
 
 } // namespace porttiller
--- a/packages/http/tests/HttpListenerTest.cpp
+++ b/packages/http/tests/HttpListenerTest.cpp
@@ -49,11 +49,11 @@
       lock, std::chrono::seconds(10), [&] { return mArrived >= aCount; });
   }
 
-  // Polls the cancel flags every 10 ms, aLooks times at most.
-  bool WaitCancelled(int aLooks = 1000)
+  // Polls the cancel flags every 10 ms, aPolls times at most.
+  bool WaitCancelled(int aPolls = 1000)
   {
     std::unique_lock lock(mMutex);
-    for (int i = 0; i < aLooks && !mCancelled; ++i) {
+    for (int i = 0; i < aPolls && !mCancelled; ++i) {
       mChanged.notify_all();
       mChanged.wait_for(lock, std::chrono::milliseconds(10));
     }
@@ -170,12 +170,12 @@
   Gate gate;
   auto listener = Listen(gate);
   Client client;
-  Client resting;
+  Client idle;
   client.Send(Get("/one"));
   REQUIRE(gate.WaitArrived(1));
   listener->BeginDrain();
   std::thread stopper([&] { listener->StopGracefully(); });
-  CHECK(resting.ReadUntil("anything").empty());
+  CHECK(idle.ReadUntil("anything").empty());
   gate.Open("/one");
   const auto text = client.ReadUntil("/one");
   CHECK(text.find("Connection: close") != std::string::npos);
@@ -186,8 +186,8 @@
 
 TEST_CASE("Draining answers every pipelined request that is running")
 {
-  // Closing the connection after the first answer would lose the requests
-  // behind it, which servers are already running.
+  // Closing the connection after the first answer would lose the answers of
+  // the requests after it, which servers are already running.
   Gate gate;
   auto listener = Listen(gate);
   Client client;
