--- a/packages/peer/include/porttiller/peer/PeerTransport.h
+++ b/packages/peer/include/porttiller/peer/PeerTransport.h
@@ -43,7 +43,7 @@
 {
   std::string mAddress;
   wire::Envelope::BodyCase mKind = wire::Envelope::BODY_NOT_SET;
-  Millis mWaited{ 0 };
+  Millis mWaited{ 0 }; // since it was last sent
   // Time since the last reply over the request's link; null if that link has
   // carried none.
   std::optional<Millis> mLinkHeard;
@@ -62,7 +62,7 @@
   std::string mBindAddress; // "ip:port"
   BoxName mBox;
   Incarnation mIncarnation;
-  Millis mIdleClose{ 30'000 };    // a link without use for so long is closed
+  Millis mIdleClose{ 30'000 };    // a link unused for this long is closed
   std::size_t mMaxPending = 4096; // requests that wait for a reply
   // Both are called on the transport's thread and must not block.
   std::function<void(const UnansweredRequest&)> mOnUnanswered;
@@ -104,7 +104,7 @@
   // aCallback is called exactly once. A request may reach its receiver after
   // its time-out, so receivers must expect late requests. It may also arrive
   // twice: a request that waits on a silent link is sent again over a new one.
-  // Reports of workspaces' use are not, because their receiver adds them up.
+  // Usage reports of workspaces are sent once, as their receiver adds them up.
   void Send(const std::string& aAddress,
             wire::Envelope aRequest,
             Millis aTimeout,
--- a/packages/peer/src/PeerLoopPriv.cpp
+++ b/packages/peer/src/PeerLoopPriv.cpp
@@ -18,7 +18,7 @@
 constexpr int kMaxUnacknowledgedMs = 1000;
 constexpr int kConnectTimeoutMs = 700;
 constexpr int kMaxReconnectMs = 500;
-// Checks for idle links within each PeerTransportOptions::mIdleClose.
+// Number of checks for idle links per PeerTransportOptions::mIdleClose.
 constexpr int kIdleChecksPerTimeout = 4;
 // Time-out of a one-way message that is sent as a request to check its link.
 constexpr Millis kDeliveryCheckTimeout{ 1000 };
@@ -29,15 +29,15 @@
   return { .mKind = aKind, .mDetail = std::move(aDetail) };
 }
 
-// Receivers add up reports of workspaces' use; a repeated one counts twice.
+// Receivers add up usage reports of workspaces; a repeated one counts twice.
 bool
 IsRepeatable(wire::Envelope::BodyCase aKind)
 {
   return aKind != wire::Envelope::kWorkspaceReport;
 }
 
-// Messages that peers rely on although each may be sent only once. Asking for a
-// reply to them does no harm.
+// Messages that must arrive although each may be sent only once. Sending them
+// as requests is harmless.
 bool
 NeedsDeliveryCheck(wire::Envelope::BodyCase aKind)
 {
@@ -367,7 +367,7 @@
     }
     const auto it = mPending.find(reply->correlation());
     if (it == mPending.end()) {
-      ++mLate;
+      ++mLateReplies;
       continue;
     }
     const auto callback = std::move(it->second.mCallback);
@@ -489,7 +489,7 @@
 {
   PeerTraffic traffic{ .mBytesSent = mSent,
                        .mBytesReceived = mReceived,
-                       .mLateReplies = mLate,
+                       .mLateReplies = mLateReplies,
                        .mUnreadable = mUnreadable,
                        .mUnanswered = mUnanswered,
                        .mLinks = mLinkCount,
--- a/packages/peer/src/PeerLoopPriv.h
+++ b/packages/peer/src/PeerLoopPriv.h
@@ -128,7 +128,7 @@
   std::array<std::atomic<std::uint64_t>, kBodyKinds> mSentByKind{};
   std::atomic<std::uint64_t> mReceived{ 0 };
   std::atomic<std::uint64_t> mUnreadable{ 0 };
-  std::atomic<std::uint64_t> mLate{ 0 };
+  std::atomic<std::uint64_t> mLateReplies{ 0 };
   std::atomic<std::uint64_t> mUnanswered{ 0 };
   std::atomic<std::uint64_t> mReplaced{ 0 };
   std::atomic<std::uint64_t> mLinkCount{ 0 };
--- a/packages/peer/tests/PeerTransportTest.cpp
+++ b/packages/peer/tests/PeerTransportTest.cpp
@@ -68,9 +68,9 @@
   standin::LinkStandIn link(kSecond);
   REQUIRE(first->Call(link.Address(), Request(), Millis(5000)).has_value());
   link.CutBackward(true);
-  const auto lost = first->Call(link.Address(), Request(), Millis(50));
-  REQUIRE_FALSE(lost.has_value());
-  CHECK(lost.error().mKind == PeerErrorKind::kTimeout);
+  const auto timedOut = first->Call(link.Address(), Request(), Millis(50));
+  REQUIRE_FALSE(timedOut.has_value());
+  CHECK(timedOut.error().mKind == PeerErrorKind::kTimeout);
   link.CutBackward(false);
   REQUIRE(first->Call(link.Address(), Request(), Millis(5000)).has_value());
   CHECK(handled == 3);
@@ -95,7 +95,7 @@
 
 namespace {
 
-// Sends requests until the peer replies, each over the link of the moment.
+// Sends requests until the peer replies. A link may be replaced in between.
 bool
 IsReached(PeerTransport& aFrom, const char* aAddress)
 {
@@ -177,7 +177,7 @@
   CHECK(IsHandled(handled, before + 1));
 }
 
-TEST_CASE("A report of workspaces' use is not sent again")
+TEST_CASE("A workspace usage report is not sent again")
 {
   std::atomic<int> handled{ 0 };
   const auto first = MakePeer(kFirst, "a", handled);
