--- a/packages/config/include/porttiller/config/EdgeHeaders.h
+++ b/packages/config/include/porttiller/config/EdgeHeaders.h
@@ -11,7 +11,7 @@
 {
   // From callers.
   std::string mDeadline;  // remaining milliseconds that the caller waits
-  std::string mRequestId; // also present in the server's response
+  std::string mRequestId; // also present in the server's answer
   std::string mKey;       // API key of a workspace; the entry removes it
   // To backend servers.
   std::string mServerDeadline; // remaining milliseconds
@@ -20,9 +20,9 @@
   std::string mWorkspace;      // workspace of the request's API key
   // From backend servers.
   std::string mNotRun;    // present if the server did not run the request
-  std::string mSignature; // present in each response that the server completed
+  std::string mSignature; // present in each answer that the server completed
   std::string mLoad;      // value "running,waiting,slots"
-  // Whether responses to callers have headers with the outcome of the request.
+  // Whether answers to callers have headers with the outcome of the request.
   bool mReportOutcome = false;
 
   friend auto operator<=>(const EdgeHeaders&, const EdgeHeaders&) = default;
--- a/packages/config/include/porttiller/config/ObjectSet.h
+++ b/packages/config/include/porttiller/config/ObjectSet.h
@@ -51,7 +51,7 @@
   // The revision at which the next watch of the store starts; mTo or later.
   std::uint64_t mCursor = 0;
   // Objects that could not be read and are not in mObjects; set only in
-  // responses of the store.
+  // answers of the store.
   std::vector<UnreadableObject> mUnreadable;
 
   friend bool operator==(const ObjectDelta&, const ObjectDelta&) = default;
--- a/packages/config/include/porttiller/config/Settings.h
+++ b/packages/config/include/porttiller/config/Settings.h
@@ -91,8 +91,8 @@
 struct WorkspaceLimitSettings
 {
   Millis mWindow{ 5000 };
-  double mOver = 0.1;
-  double mSlack = 20.0;
+  double mOver = 0.1;   // as a fraction of the limit
+  double mSlack = 20.0; // requests
 };
 
 struct TimingSettings
--- a/packages/config/include/porttiller/config/Snapshot.h
+++ b/packages/config/include/porttiller/config/Snapshot.h
@@ -72,7 +72,7 @@
   void TakeWorkspaces(const ObjectSet& aObjects,
                       const std::vector<ObjectKey>& aChanged);
 
-  std::map<ObjectKey, Resource> mGood; // without workspaces
+  std::map<ObjectKey, Resource> mLastValid; // without workspaces
   std::shared_ptr<const WorkspaceTable> mWorkspaces =
     std::make_shared<const WorkspaceTable>();
   std::map<ObjectKey, Rejection> mRejected;
--- a/packages/config/include/porttiller/config/StoreMessages.h
+++ b/packages/config/include/porttiller/config/StoreMessages.h
@@ -1,4 +1,4 @@
-// Requests to the platform's store and its decoded responses, independent of
+// Requests to the platform's store and its decoded answers, independent of
 // the dialect of the store.
 #pragma once
 
--- a/packages/config/src/ObjectSet.cpp
+++ b/packages/config/src/ObjectSet.cpp
@@ -57,8 +57,8 @@
   }
   std::vector<ObjectKey> changed;
   for (const auto& object : aDelta.mObjects) {
-    // Objects that a complete document changes are new here as of its revision,
-    // even if the sender has known them for longer.
+    // An object that a complete document changes gets the document's revision,
+    // even if the sender has had this version of it since an earlier revision.
     const bool isNew = aDelta.mFull && aDelta.mOfDocument;
     const auto version = isNew ? aDelta.mTo : object.mVersion;
     Put(object, version, aDelta.mOfDocument, changed);
--- a/packages/config/src/Settings.cpp
+++ b/packages/config/src/Settings.cpp
@@ -25,9 +25,9 @@
 constexpr double kMaxPlatformNumber = 1e9;
 constexpr double kMinWindowS = 0.1;
 constexpr double kMaxWindowS = 86'400.0;
-// Share of the time until a shutdown is forced. The rest is for the process to
-// exit; requests that are running in the last sixth of that time must still be
-// completed.
+// Share of the time until a shutdown is forced that draining may take. It
+// extends into the last sixth, because requests that run then must still be
+// completed; the rest is for the process to exit.
 constexpr double kDrainShareOfGrace = 0.88;
 constexpr double kMillisPerSecond = 1000.0;
 // A waiting request takes up to 128 KB (used stack of a thread and buffers),
--- a/packages/config/src/Snapshot.cpp
+++ b/packages/config/src/Snapshot.cpp
@@ -120,9 +120,9 @@
   const auto* object = aObjects.Find(aKey);
   if (object == nullptr) {
     mRejected.erase(aKey);
-    mGood.erase(aKey);
+    mLastValid.erase(aKey);
   } else if (auto resource = Parse(*object)) {
-    mGood.insert_or_assign(aKey, std::move(*resource));
+    mLastValid.insert_or_assign(aKey, std::move(*resource));
   }
 }
 
@@ -183,12 +183,12 @@
   snapshot->mDigest = aObjects.Digest();
   snapshot->mSerial = ++mLastSerial;
   snapshot->mWorkspaces = mWorkspaces;
-  for (const auto& [key, resource] : mGood) {
+  for (const auto& [key, resource] : mLastValid) {
     if (std::holds_alternative<ServiceSpec>(resource)) {
       std::visit(ResourceAdder(*snapshot, key), resource);
     }
   }
-  for (const auto& [key, resource] : mGood) {
+  for (const auto& [key, resource] : mLastValid) {
     if (!std::holds_alternative<ServiceSpec>(resource)) {
       std::visit(ResourceAdder(*snapshot, key), resource);
     }
--- a/packages/config/tests/DirectoryTest.cpp
+++ b/packages/config/tests/DirectoryTest.cpp
@@ -95,9 +95,9 @@
 
 TEST_CASE("InUse returns the newest incarnation for each address")
 {
-  // Guards against requests that the record of a permanently removed box
-  // directs to the box that has its address now (12,000 a day in a large
-  // fleet).
+  // The platform reassigns the address of a removed box. If the record of the
+  // removed box were used, its requests would reach the box that has the
+  // address now (12,000 a day in a large fleet).
   Directory directory;
   auto removed = Record("gone", 9);
   directory.Merge(removed);
--- a/packages/config/tests/FieldReaderTest.cpp
+++ b/packages/config/tests/FieldReaderTest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("FieldReader::Integer rejects values that are no integers in range")
+TEST_CASE("FieldReader::Integer rejects values that are not integers in range")
 {
   constexpr IntegerRange kRange{ .mMin = 1,
                                  .mMax =
--- a/packages/config/tests/StoreCursorTest.cpp
+++ b/packages/config/tests/StoreCursorTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const tl::expected<void, ApplyError> kNothingForTheSet;
+const tl::expected<void, ApplyError> kNoError;
 
 Object
 Service(std::uint64_t aVersion)
@@ -38,7 +38,7 @@
   return whole;
 }
 
-// Processes a response of the store like a node.
+// Processes an answer of the store as a node does.
 void
 Take(StoreCursor& aCursor,
      ObjectSet& aSet,
@@ -79,11 +79,11 @@
   "A rejected delta does not advance the cursor and requires the full list")
 {
   StoreCursor cursor;
-  cursor.OnRead({ .mCursor = 5 }, kNothingForTheSet);
+  cursor.OnRead({ .mCursor = 5 }, kNoError);
   cursor.OnRead({ .mCursor = 9 }, tl::make_unexpected(ApplyError::kGap));
   CHECK_FALSE(cursor.From(5).has_value());
   CHECK(cursor.Read() == 5);
-  cursor.OnRead(Whole(9), kNothingForTheSet);
+  cursor.OnRead(Whole(9), kNoError);
   CHECK(cursor.From(9) == 9);
 }
 
