--- a/packages/store/include/porttiller/store/NativeDialect.h
+++ b/packages/store/include/porttiller/store/NativeDialect.h
@@ -6,7 +6,7 @@
 
 namespace porttiller {
 
-// Stateless. Builds requests and decodes their responses.
+// Stateless. Builds requests and decodes their answers.
 struct NativeDialect
 {
   static StoreCall Get(const ObjectKey& aKey);
--- a/packages/store/include/porttiller/store/ObjectClient.h
+++ b/packages/store/include/porttiller/store/ObjectClient.h
@@ -1,5 +1,5 @@
 // Client of the platform's object API over HTTP, in the dialect that the
-// platform speaks.
+// platform uses.
 #pragma once
 
 #include "porttiller/config/ObjectSet.h"
--- a/packages/store/src/WriteWithReadBack.cpp
+++ b/packages/store/src/WriteWithReadBack.cpp
@@ -33,7 +33,7 @@
          const ObjectKey& aKey,
          std::uint64_t aVersion,
          const std::string& aSpec,
-         const StoreError& aLost)
+         const StoreError& aWriteError)
 {
   for (int i = 0; i < kReadBackAttempts; ++i) {
     const auto held = aClient.Get(aKey);
@@ -50,13 +50,13 @@
     // Only another write, which changes the version, rules that out.
     const bool isUnchanged = held ? held->mVersion == aVersion : aVersion == 0;
     if (isUnchanged) {
-      return tl::make_unexpected(aLost);
+      return tl::make_unexpected(aWriteError);
     }
     return tl::make_unexpected(
       StoreError{ .mKind = StoreErrorKind::kConflict,
                   .mDetail = "another writer changed the object first" });
   }
-  return tl::make_unexpected(aLost);
+  return tl::make_unexpected(aWriteError);
 }
 
 } // namespace
@@ -71,14 +71,14 @@
   if (written || written.error().mKind != StoreErrorKind::kAmbiguous) {
     return written;
   }
-  auto settled = ReadBack(aClient, aKey, aVersion, aSpec, written.error());
-  if (settled || settled.error().mKind != StoreErrorKind::kAmbiguous) {
-    return settled;
+  auto readBack = ReadBack(aClient, aKey, aVersion, aSpec, written.error());
+  if (readBack || readBack.error().mKind != StoreErrorKind::kAmbiguous) {
+    return readBack;
   }
   // Sending the write again is safe: for one version at most one succeeds.
   auto again = WriteOnce(aClient, aKey, aVersion, aSpec);
   if (again || again.error().mKind == StoreErrorKind::kUnavailable) {
-    return again ? again : settled;
+    return again ? again : readBack;
   }
   return ReadBack(aClient, aKey, aVersion, aSpec, again.error());
 }
--- a/packages/store/tests/WriteWithReadBackTest.cpp
+++ b/packages/store/tests/WriteWithReadBackTest.cpp
@@ -56,10 +56,10 @@
   const auto version = f.mPlatform.Put(kKey, R"({"writer":"x"})");
   CHECK(WriteWithReadBack(f.mClient, kKey, version, R"({"writer":"a"})"));
   f.mPlatform.LoseWriteAnswers(1);
-  const auto late =
+  const auto second =
     WriteWithReadBack(f.mClient, kKey, version, R"({"writer":"b"})");
-  REQUIRE_FALSE(late.has_value());
-  CHECK(late.error().mKind == StoreErrorKind::kConflict);
+  REQUIRE_FALSE(second.has_value());
+  CHECK(second.error().mKind == StoreErrorKind::kConflict);
   CHECK(f.mPlatform.SpecOf(kKey) == R"({"writer":"a"})");
 }
 
