--- a/packages/telemetry/src/Log.cpp
+++ b/packages/telemetry/src/Log.cpp
@@ -49,7 +49,7 @@
   };
 
   std::mutex mMutex;
-  // By event name. Event names are literals, so the views stay valid, and few.
+  // By event name. Event names are few, and literals, so the views stay valid.
   std::map<std::string_view, Window> mWindows;
 };
 
--- a/packages/telemetry/src/Metrics.cpp
+++ b/packages/telemetry/src/Metrics.cpp
@@ -116,9 +116,9 @@
   auto& refusals = CounterFamily(
     *mRegistry, "porttiller_refusals_total", "Attempts that homes refused");
   for (std::size_t i = 0; i < mRefusals.size(); ++i) {
-    const auto refusal = static_cast<RejectReason>(i);
+    const auto reason = static_cast<RejectReason>(i);
     mRefusals.at(i) =
-      &refusals.Add({ { "reason", std::string(ToText(refusal)) } });
+      &refusals.Add({ { "reason", std::string(ToText(reason)) } });
   }
   auto& unreadable =
     CounterFamily(*mRegistry,
