--- a/apps/porttiller/SettingsFile.cpp
+++ b/apps/porttiller/SettingsFile.cpp
@@ -14,23 +14,23 @@
 }
 
 std::filesystem::file_time_type
-SettingsFile::WrittenAt() const
+SettingsFile::ModifiedAt() const
 {
   std::error_code error;
   const auto time = std::filesystem::last_write_time(mPath, error);
-  return error ? mReadVersion : time; // a missing file is no change
+  return error ? mReadModifiedAt : time; // a missing file is no change
 }
 
 bool
 SettingsFile::Changed() const
 {
-  return WrittenAt() != mReadVersion;
+  return ModifiedAt() != mReadModifiedAt;
 }
 
 tl::expected<Settings, std::string>
 SettingsFile::Read()
 {
-  mReadVersion = WrittenAt();
+  mReadModifiedAt = ModifiedAt();
   std::ifstream stream(mPath);
   if (!stream) {
     return tl::make_unexpected("cannot read " + mPath + "\n");
@@ -55,10 +55,11 @@
   // Not compared: it is set only at the first start of a box, and later
   // versions of the file always differ in it.
   others.mRegistration.mFirstStart = aInForce.mRegistration.mFirstStart;
-  const bool needsStart = ToJsonText(others) != ToJsonText(aInForce);
+  const bool needsRestart = ToJsonText(others) != ToJsonText(aInForce);
   LogLine(LogLevel::kInfo, "settings_reloaded")
     .With("log_level", aReloaded.mLogLevel)
-    .With("other_changes", needsStart ? "in force at the next start" : "none");
+    .With("other_changes",
+          needsRestart ? "in force at the next start" : "none");
 }
 
 } // namespace porttiller
--- a/apps/porttiller/SettingsFile.h
+++ b/apps/porttiller/SettingsFile.h
@@ -21,10 +21,10 @@
   bool Changed() const;
 
 private:
-  std::filesystem::file_time_type WrittenAt() const;
+  std::filesystem::file_time_type ModifiedAt() const;
 
   const std::string mPath;
-  std::filesystem::file_time_type mReadVersion;
+  std::filesystem::file_time_type mReadModifiedAt; // of the version read
 };
 
 // Applies the log level, the one setting that can change at run time, and logs
