--- a/testing/fleet/Fleet.cpp
+++ b/testing/fleet/Fleet.cpp
@@ -390,8 +390,8 @@
   if (!list) {
     return false;
   }
-  // The store's revision would not do: writes of statuses and ledgers advance
-  // it, too.
+  // The store's own revision may be higher: writes of statuses and ledgers
+  // advance it, too.
   std::uint64_t newest = 0;
   for (const auto& object : list->mObjects) {
     newest = std::max(newest, object.mVersion);
--- a/testing/fleet/Fleet.h
+++ b/testing/fleet/Fleet.h
@@ -1,5 +1,5 @@
 // A small fleet for tests, the demo and bench/: daemon processes on loopback,
-// and fakes of the platform and the backend servers.
+// and stand-ins for the platform and the backend servers.
 #pragma once
 
 #include "porttiller/http/HttpPool.h"
@@ -25,7 +25,7 @@
   int mFloorSlots = 9;
   std::string mDetection = "fast";
   int mPortBase = 22000;      // first port; each box uses four
-  bool mOwnProcesses = false; // run each fake as a process
+  bool mOwnProcesses = false; // run each stand-in as a process
   // Puts a relay in front of the platform and of each box's home and control
   // address.
   bool mLinks = false;
--- a/testing/fleet/MeshFleet.h
+++ b/testing/fleet/MeshFleet.h
@@ -1,5 +1,5 @@
-// Daemon processes on loopback that use the mesh dialect, with a fake object
-// store and one fake backend server for each box.
+// Daemon processes on loopback that use the mesh dialect, with an object
+// store stand-in and one backend server stand-in for each box.
 #pragma once
 
 #include "fleet/Fleet.h"
--- a/testing/fleet/tests/CallerEdgeTest.cpp
+++ b/testing/fleet/tests/CallerEdgeTest.cpp
@@ -101,8 +101,8 @@
   CHECK(fleet.Server(0).Runs() == 0);
 }
 
-TEST_CASE(
-  "Oversized and malformed requests are rejected with a specific status")
+TEST_CASE("Oversized and malformed requests get a specific status and reach no "
+          "server, and a request without a route gets 404")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   CHECK(StatusOf(SendRaw(
@@ -138,7 +138,8 @@
   }));
 }
 
-TEST_CASE("A caller cannot forge headers that are internal to the proxy")
+TEST_CASE("A caller cannot forge internal headers, and a home rejects a "
+          "request without them")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const auto reply =
@@ -161,7 +162,7 @@
     400);
 }
 
-TEST_CASE("A server receives the remaining deadline of its caller")
+TEST_CASE("A server receives a deadline that does not exceed its caller's")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const auto reply =
@@ -172,7 +173,7 @@
   CHECK(std::stoi(seen) <= 3000);
 }
 
-TEST_CASE("A chunked body reaches the server completely")
+TEST_CASE("A request with a chunked body runs once, with the complete body")
 {
   Fleet fleet({ .mBoxes = 1, .mPortBase = kPortBase });
   const auto answer =
--- a/testing/fleet/tests/CommandLineTest.cpp
+++ b/testing/fleet/tests/CommandLineTest.cpp
@@ -82,7 +82,8 @@
   }
 }
 
-TEST_CASE("porttiller --check and --print-config exit without a connection")
+TEST_CASE("porttiller --check and --print-config need no platform, and without "
+          "--config it exits with 2")
 {
   const auto file = WriteFile(
     R"({"box": "a", "zone": "z", "platform_address": "127.0.0.1:1"})");
@@ -96,7 +97,7 @@
   CHECK(RunProgram(PORTTILLER_DAEMON, {}).mExitCode == 2);
 }
 
-TEST_CASE("porttiller reports an address that is in use and exits")
+TEST_CASE("porttiller reports an address that is in use and exits with 1")
 {
   const standin::HttpStandIn taken("127.0.0.1:0", {});
   const auto file = WriteFile(
@@ -112,7 +113,7 @@
         std::string::npos);
 }
 
-TEST_CASE("porttillerctl applies, shows and deletes objects")
+TEST_CASE("porttillerctl applies, shows, lists and deletes objects")
 {
   const Ctl ctl;
   CHECK(ctl.Apply(kService).mText.find("created") != std::string::npos);
@@ -126,7 +127,8 @@
   CHECK(ctl({ "get", "Service", "ledger" }).mExitCode == 6);
 }
 
-TEST_CASE("porttillerctl shows server start times and unreadable records")
+TEST_CASE("porttillerctl shows server start times, leaving servers and "
+          "unreadable records")
 {
   const Ctl ctl;
   ctl.Apply(kService);
@@ -143,7 +145,8 @@
   CHECK(status.find("unreadable: box-records/x") != std::string::npos);
 }
 
-TEST_CASE("porttillerctl names the field of an invalid object")
+TEST_CASE(
+  "porttillerctl names the field of an invalid object and writes nothing")
 {
   const Ctl ctl;
   const auto result = ctl.Apply(
@@ -163,7 +166,8 @@
   CHECK(ctl.Apply(kService).mExitCode == 3);
 }
 
-TEST_CASE("One of two concurrent writes by operators reports a conflict")
+TEST_CASE("Of two concurrent writes by operators one takes effect and the "
+          "other reports a conflict")
 {
   const Ctl ctl;
   const auto version = ctl.mPlatform.Put({ "Service", "ledger" }, "{}");
@@ -198,7 +202,8 @@
   CHECK(result.mText.find("new-route") != std::string::npos);
 }
 
-TEST_CASE("porttillerctl shows the number of API keys, but not the keys")
+TEST_CASE("porttillerctl shows the number of API keys and the position of "
+          "invalid ones, but not the keys")
 {
   const Ctl ctl;
   CHECK(ctl
--- a/testing/fleet/tests/ConfigFaultsTest.cpp
+++ b/testing/fleet/tests/ConfigFaultsTest.cpp
@@ -104,7 +104,8 @@
   }
 }
 
-TEST_CASE("Changes take effect after all open connections stop carrying data")
+TEST_CASE("Changes take effect and requests succeed after all open connections "
+          "stop carrying data")
 {
   // Rules out probes, so that only announcements propagate the change.
   auto options = Options();
@@ -121,7 +122,8 @@
   }
 }
 
-TEST_CASE("Boxes serve and restart while the platform is unavailable")
+TEST_CASE("Boxes serve and restart while the platform is unavailable, and "
+          "apply changes after that")
 {
   Fleet fleet(Options());
   const auto revision = PutService(fleet, R"({"floor_slots": 2})");
@@ -138,7 +140,8 @@
   CHECK(WaitForRevision(fleet, PutService(fleet, R"({"floor_slots": 3})")));
 }
 
-TEST_CASE("No box ever goes back to an older configuration")
+TEST_CASE("No box returns to an older configuration under outages and pauses, "
+          "and all reach the last one")
 {
   Fleet fleet(Options());
   std::vector<std::uint64_t> seen(5, 0);
@@ -179,8 +182,8 @@
   checkRevisions();
 }
 
-TEST_CASE(
-  "An invalid object is rejected by name and the last valid one stays in use")
+TEST_CASE("The fleet status names the field of an invalid object until it is "
+          "corrected, and the fleet keeps serving")
 {
   Fleet fleet(Options());
   const auto bad = PutService(fleet, R"({"floor_slots": "many"})");
@@ -202,8 +205,8 @@
   }));
 }
 
-TEST_CASE(
-  "A box that starts without platform and peers serves once the platform is up")
+TEST_CASE("A box that starts without platform and peers rejects a request as "
+          "not run, and serves once the platform is up")
 {
   Fleet fleet(Options());
   fleet.Platform().SetDown(true);
--- a/testing/fleet/tests/DirectoryStartTest.cpp
+++ b/testing/fleet/tests/DirectoryStartTest.cpp
@@ -61,7 +61,8 @@
 
 } // namespace
 
-TEST_CASE("A restarted box uses its server when peers sent all other records")
+TEST_CASE(
+  "A restarted box publishes its own server when peers sent all other records")
 {
   // Guards against an unpublished own record: when the list from the store adds
   // nothing to what peers have sent, the box must still publish what it has
@@ -102,7 +103,8 @@
   transport->reset(); // no callbacks after this, as in a node
 }
 
-TEST_CASE("A box that received records from peers reads no list from the store")
+TEST_CASE("A box that received records from peers calls the store only to "
+          "write its own record")
 {
   // Guards against a burst of store calls at start: when each of 353 boxes
   // reads the whole list, 1,229 of the 1,971 calls of a day without faults fall
--- a/testing/fleet/tests/EjectionFaultsTest.cpp
+++ b/testing/fleet/tests/EjectionFaultsTest.cpp
@@ -104,7 +104,8 @@
     WaitUntil(kWait, [&] { return RunsWithin(fleet, 0, Millis(100)) > 0; }));
 }
 
-TEST_CASE("The floor holds: a second failing server is only demoted")
+TEST_CASE("A second failing server is not ejected when the floor allows only "
+          "one ejection")
 {
   Fleet fleet(Options(12));
   const BackgroundReads reads(fleet);
@@ -123,7 +124,8 @@
   }
 }
 
-TEST_CASE("A failing server that the floor keeps in use is demoted")
+TEST_CASE("A failing server that the floor keeps in use is demoted, without a "
+          "ledger entry")
 {
   Fleet fleet(Options(18));
   const BackgroundReads reads(fleet);
@@ -135,7 +137,8 @@
   CHECK_FALSE(LedgerHas(fleet, 0));
 }
 
-TEST_CASE("A failing server is demoted while the platform is unavailable")
+TEST_CASE("A failing server is demoted while the platform is unavailable and "
+          "enters the ledger after that")
 {
   Fleet fleet(Options(12));
   const BackgroundReads reads(fleet);
@@ -147,7 +150,8 @@
   CHECK(WaitUntil(kWait, [&] { return LedgerHas(fleet, 0); }));
 }
 
-TEST_CASE("Ejection and release complete although the answers are lost")
+TEST_CASE(
+  "Ejection and release complete although the platform's answers are lost")
 {
   Fleet fleet(Options(12));
   const BackgroundReads reads(fleet);
@@ -163,7 +167,8 @@
   }));
 }
 
-TEST_CASE("A fault common to the whole service does not eject its servers")
+TEST_CASE("A fault common to all servers of a service ejects no more than one "
+          "on average")
 {
   Fleet fleet(Options(6));
   const BackgroundReads reads(fleet);
@@ -179,13 +184,14 @@
     }
     std::this_thread::sleep_for(Millis(50));
   }
-  // One server may raise its alarm before the others do and be ejected, but not
-  // two of three: at most one in each of the 20 samples on average.
+  // One server may be detected and ejected before the others, but not two of
+  // three: the 20 samples contain no more than one ejected server on average.
   CHECK(ejected <= 20);
   CHECK(reads.mAnswered > 0);
 }
 
-TEST_CASE("A home killed while its server is ejected removes its ledger entry")
+TEST_CASE("A home that is killed while its server is ejected removes the "
+          "ledger entry after its restart")
 {
   Fleet fleet(Options(12));
   const BackgroundReads reads(fleet);
@@ -214,7 +220,8 @@
   CHECK(WaitUntil(kWait, [&] { return !LedgerHas(fleet, 0); }));
 }
 
-TEST_CASE("A cut network path is avoided without a penalty for the server")
+TEST_CASE("A cut network path is avoided without ejecting or demoting the "
+          "server, and used again after the cut")
 {
   Fleet fleet(Options(12));
   standin::LinkStandIn homeLink(fleet.HomeAddress(1));
--- a/testing/fleet/tests/EntryFaultsTest.cpp
+++ b/testing/fleet/tests/EntryFaultsTest.cpp
@@ -93,7 +93,8 @@
   CHECK(summary.mViolations.empty());
 }
 
-TEST_CASE("No request runs twice when an entry is killed")
+TEST_CASE(
+  "No request runs twice or gets a false outcome when an entry is killed")
 {
   Fleet fleet(Options());
   fleet.Server(0).Set({ .mServiceMs = 50 });
@@ -109,7 +110,8 @@
   CHECK(summary.mViolations.empty());
 }
 
-TEST_CASE("A caller that retries after an unknown outcome receives the result")
+TEST_CASE("A retry after an unknown outcome returns the result of the only "
+          "run, and only to its caller")
 {
   Fleet fleet(Options(", \"attempt_patience_ms\": 100"));
   standin::LinkStandIn homeLink(fleet.HomeAddress(1));
--- a/testing/fleet/tests/MeshFleetTest.cpp
+++ b/testing/fleet/tests/MeshFleetTest.cpp
@@ -16,8 +16,8 @@
 
 } // namespace
 
-TEST_CASE(
-  "A request runs once and its complete, signed answer reaches the caller")
+TEST_CASE("A request runs once under its box's service name, its complete, "
+          "signed answer reaches the caller, and one without a route gets 404")
 {
   MeshFleet fleet(3, kPortBase);
   for (int i = 0; i < 12; ++i) {
@@ -38,8 +38,8 @@
   CHECK(fleet.Send(0, "GET", "/none/", "n").mStatus == 404);
 }
 
-TEST_CASE(
-  "A draining server gets no request after its ack, even if its box dies")
+TEST_CASE("A draining server gets no request after the acknowledgement, even "
+          "if its box is killed and restarts")
 {
   MeshFleet fleet(3, kPortBase);
   REQUIRE(fleet.Server(0).SendHeartbeat("draining"));
@@ -65,7 +65,8 @@
   check("b-");
 }
 
-TEST_CASE("Peers retain that a server drains while the store is unavailable")
+TEST_CASE("Peers learn that a server drains while the store is unavailable, "
+          "and its record is stored after that")
 {
   MeshFleet fleet(3, kPortBase);
   fleet.Store().SetDown(true);
@@ -78,7 +79,8 @@
   }));
 }
 
-TEST_CASE("A box that starts while the store is unavailable uses its server")
+TEST_CASE("A box that starts while the store is unavailable uses its server "
+          "and becomes ready")
 {
   // Guards against a box that serves nothing and does not acknowledge its
   // server's heartbeats until the store is available again.
@@ -93,7 +95,8 @@
   CHECK(fleet.Send(2, "POST", "/once/x", "away").mStatus == 200);
 }
 
-TEST_CASE("A record is stored although the answer of the store is lost")
+TEST_CASE("A server that leaves is acknowledged and no longer used although "
+          "the store's answer is lost")
 {
   MeshFleet fleet(2, kPortBase);
   fleet.Store().LoseWriteAnswers(1);
@@ -101,7 +104,8 @@
   CHECK(fleet.WaitServers(1));
 }
 
-TEST_CASE("A change takes effect on every box and stays without the store")
+TEST_CASE("A change takes effect on every box despite a compacted history, and "
+          "on a box that restarts without the store")
 {
   MeshFleet fleet(3, kPortBase);
   fleet.Store().CompactHistory();
@@ -162,14 +166,15 @@
   }));
 }
 
-TEST_CASE("An answer that is unsigned or for another request is not delivered")
+TEST_CASE("An answer that is unsigned or for another request is not delivered, "
+          "and its request runs once")
 {
   MeshFleet fleet(2, kPortBase);
   for (int box = 0; box < 2; ++box) {
     fleet.Server(box).Set({ .mUnsigned = true });
   }
-  const auto spoiled = fleet.Send(0, "POST", "/once/x", "u");
-  CHECK(spoiled.mStatus == 504);
+  const auto unsignedReply = fleet.Send(0, "POST", "/once/x", "u");
+  CHECK(unsignedReply.mStatus == 504);
   CHECK(fleet.RunsOf("u") == 1);
   for (int box = 0; box < 2; ++box) {
     fleet.Server(box).Set({ .mForeignId = true });
@@ -195,7 +200,8 @@
   CHECK(fleet.RunsOf("none") == 0);
 }
 
-TEST_CASE("A stopping box lets others use its server during its drain notice")
+TEST_CASE("A stopping box is not ready, and others use its server during its "
+          "drain notice but not after its exit")
 {
   // Guards against a drain notice during which a running server gets no
   // requests: only callers need the notice. It matters when boxes are stopped
@@ -226,7 +232,7 @@
 TEST_CASE("A repeatable request at a hung server is answered by another server")
 {
   MeshFleet fleet(3, kPortBase);
-  for (int i = 0; i < 12; ++i) { // establishes the usual latency
+  for (int i = 0; i < 12; ++i) { // establishes the latency P90
     const auto id = "before-" + std::to_string(i);
     REQUIRE(fleet.Send(0, "GET", "/safe/x", id).mStatus == 200);
   }
@@ -257,7 +263,8 @@
   CHECK(fleet.Server(0).Cancelled() == 0);
 }
 
-TEST_CASE("A server that restarts under its id is used by all boxes")
+TEST_CASE("A server that restarts under its id is used by all boxes, and no "
+          "request runs twice")
 {
   MeshFleet fleet({ .mBoxes = 3, .mPortBase = kPortBase, .mStartTimes = true });
   const auto runsAtServer = [&](const std::string& aPrefix) {
@@ -309,8 +316,8 @@
   CHECK(runsAtServer("third-"));
 }
 
-TEST_CASE(
-  "A late message of an earlier incarnation does not affect the current one")
+TEST_CASE("A message of an earlier incarnation or without a start time does "
+          "not affect the current one")
 {
   MeshFleet fleet({ .mBoxes = 2, .mPortBase = kPortBase, .mStartTimes = true });
   const auto leaveOfFirst =
@@ -328,7 +335,8 @@
   CHECK(fleet.WaitServers(2));
 }
 
-TEST_CASE("Foreign objects in the store hide no box and no server")
+TEST_CASE("Foreign objects in the store stay and hide no box and no server, "
+          "and an invalid document changes nothing")
 {
   MeshFleet fleet({ .mBoxes = 3, .mPortBase = kPortBase, .mStartTimes = true });
   auto& store = fleet.Store();
@@ -381,7 +389,8 @@
   CHECK(fleet.LogOf(2).find("object_unreadable") != std::string::npos);
 }
 
-TEST_CASE("Malformed and foreign heartbeats change no server in use")
+TEST_CASE("Malformed and foreign heartbeats are not acknowledged and change no "
+          "server in use")
 {
   MeshFleet fleet({ .mBoxes = 2, .mPortBase = kPortBase, .mStartTimes = true });
   for (const char* body : { "",
--- a/testing/fleet/tests/RequestFaultsTest.cpp
+++ b/testing/fleet/tests/RequestFaultsTest.cpp
@@ -205,7 +205,7 @@
   }
 }
 
-TEST_CASE("Every caller receives the true outcome under each fault at a home")
+TEST_CASE("Every caller receives the true outcome under each fault")
 {
   Matrix matrix;
   for (const auto& fault : kFaults) {
--- a/testing/fleet/tests/WorkspaceFleetTest.cpp
+++ b/testing/fleet/tests/WorkspaceFleetTest.cpp
@@ -42,8 +42,8 @@
 
 } // namespace
 
-TEST_CASE(
-  "An API key identifies its workspace to the server and is never shown")
+TEST_CASE("An API key identifies its workspace to the server and appears in no "
+          "header, log, state or metric, and an unknown key is rejected")
 {
   MeshFleet fleet(3, kPortBase);
   fleet.SetWorkspaces(kBothWorkspaces);
@@ -92,8 +92,8 @@
   CHECK(fleet.RunsOf("gone-2") == 0);
 }
 
-TEST_CASE(
-  "Boxes that cannot reach the store learn of removed API keys from peers")
+TEST_CASE("A box that cannot reach the store learns of a removed API key from "
+          "peers, also after a restart")
 {
   MeshFleet fleet({ .mBoxes = 3, .mPortBase = kPortBase, .mLinks = true });
   fleet.SetWorkspaces(kBothWorkspaces);
@@ -105,7 +105,7 @@
   fleet.SetWorkspaces(R"({"b":{"ApiKeys":[")" + kOtherKey + R"("]}})");
   CHECK(WaitForStatus(fleet, 2, kKey, 401));
   CHECK(StatusWith(fleet, 2, kOtherKey, "still") == 200);
-  // A restarted box knows of the removal and does not use an older version.
+  // The restarted box learns of the removal and does not use an older version.
   fleet.SignalBox(2, SIGKILL);
   fleet.WaitForBoxExit(2, kWait);
   fleet.StartBox(2);
@@ -116,7 +116,8 @@
   }));
 }
 
-TEST_CASE("A document that gives one API key to two workspaces is rejected")
+TEST_CASE("A document that gives one API key to two workspaces is rejected, "
+          "and the key is not logged")
 {
   MeshFleet fleet(2, kPortBase);
   fleet.SetWorkspaces(kBothWorkspaces);
@@ -143,9 +144,8 @@
   for (int box = 0; box < 3; ++box) {
     REQUIRE(WaitForStatus(fleet, box, "", 401));
   }
-  // Sends at about eight times the limit until 300 requests are rejected, about
-  // a window's worth. The bound on those that run holds however long that
-  // takes.
+  // Sends at about eight times the limit until 300 requests are rejected, which
+  // takes about one window. The bound on those that run holds for any duration.
   const auto start = Now();
   int ran = 0;
   int rejected = 0;
--- a/testing/soak/Clients.cpp
+++ b/testing/soak/Clients.cpp
@@ -9,8 +9,8 @@
 constexpr int kDeadlineMs = 1500;
 // How long after the deadline a caller still waits for the answer.
 constexpr Millis kAnswerSlack{ 3000 };
-constexpr int kMaxGapMs = 40; // between the requests of one caller
-constexpr int kExtraRouteOneIn = 6;
+constexpr int kMaxGapMs = 40;       // between the requests of one caller
+constexpr int kExtraRouteOneIn = 6; // one request in this many uses the route
 
 HttpRequestData
 MakeHttp(const SentRequest& aRequest)
--- a/testing/soak/Clients.h
+++ b/testing/soak/Clients.h
@@ -39,8 +39,8 @@
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
 
-  // From now on some requests go to this route, too, which a configuration
-  // change adds.
+  // Makes some of the later requests use this route, which a configuration
+  // change has added.
   void AddRoute(const std::string& aPrefix);
   // Waits for the outstanding answers and returns all requests.
   std::vector<SentRequest> Stop();
--- a/testing/soak/Soak.cpp
+++ b/testing/soak/Soak.cpp
@@ -324,7 +324,7 @@
   mFleet.ReplaceServer(aBox);
 }
 
-// Removes what faults left behind that overlapped with others.
+// Ends faults that are still active because they overlapped with others.
 void
 Soak::ClearFaults()
 {
--- a/testing/standin/HttpStandIn.cpp
+++ b/testing/standin/HttpStandIn.cpp
@@ -62,7 +62,7 @@
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress(aAddress), true, false);
   socket.listen(kBacklog);
-  mHost = socket.address().toString();
+  mAddress = socket.address().toString();
   Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
   params->setMaxThreads(kMaxThreads);
   params->setMaxQueued(kBacklog);
@@ -84,7 +84,7 @@
 std::string
 HttpStandIn::Address() const
 {
-  return mHost;
+  return mAddress;
 }
 
 std::string
@@ -105,7 +105,7 @@
 }
 
 void
-CutConnection(HTTPServerRequest& aRequest)
+CloseConnection(HTTPServerRequest& aRequest)
 {
   try {
     dynamic_cast<Poco::Net::HTTPServerRequestImpl&>(aRequest)
--- a/testing/standin/HttpStandIn.h
+++ b/testing/standin/HttpStandIn.h
@@ -29,7 +29,7 @@
 private:
   Poco::ThreadPool mThreads;
   std::unique_ptr<Poco::Net::HTTPServer> mServer;
-  std::string mHost;
+  std::string mAddress;
 };
 
 std::string
@@ -42,7 +42,7 @@
 
 // Shuts the connection down at once, before or during a response.
 void
-CutConnection(Poco::Net::HTTPServerRequest& aRequest);
+CloseConnection(Poco::Net::HTTPServerRequest& aRequest);
 
 // Blocks until the process receives SIGTERM or SIGINT.
 void
--- a/testing/standin/ObjectStoreStandIn.cpp
+++ b/testing/standin/ObjectStoreStandIn.cpp
@@ -137,7 +137,7 @@
   const bool wrote = aRequest.getMethod() != "GET" && reply.mStatus == 200;
   if (wrote && mLoseAnswers > 0) {
     --mLoseAnswers;
-    CutConnection(aRequest);
+    CloseConnection(aRequest);
     return;
   }
   SendText(aResponse, reply.mStatus, reply.mBody);
--- a/testing/standin/PlatformStandIn.cpp
+++ b/testing/standin/PlatformStandIn.cpp
@@ -238,7 +238,7 @@
   }
   ++mCalls;
   if (mDown) {
-    CutConnection(aRequest);
+    CloseConnection(aRequest);
     return;
   }
   std::this_thread::sleep_for(Millis(mDelayMs));
@@ -248,7 +248,7 @@
     reply = uri.starts_with(kWatch) ? Watch(uri) : Read(uri);
   } else {
     if (DecrementIfPositive(mLoseWrites)) {
-      CutConnection(aRequest);
+      CloseConnection(aRequest);
       return;
     }
     reply = WriteObject(aRequest.getMethod(),
@@ -256,12 +256,12 @@
                         ParseUnsigned(aRequest.get("If-Match", "")).value_or(0),
                         body);
     if (DecrementIfPositive(mLoseAnswers)) {
-      CutConnection(aRequest);
+      CloseConnection(aRequest);
       return;
     }
   }
   if (mDown) {
-    CutConnection(aRequest);
+    CloseConnection(aRequest);
     return;
   }
   SendText(aResponse, reply.mStatus, reply.mBody);
--- a/testing/standin/ServerStandIn.cpp
+++ b/testing/standin/ServerStandIn.cpp
@@ -131,14 +131,14 @@
     return;
   }
   if (behaviour.mCloseEvery > 0 && turn % behaviour.mCloseEvery == 0) {
-    CutConnection(aRequest);
+    CloseConnection(aRequest);
     return;
   }
   const auto echo = EchoOf(mName, id, body);
   if (turn < behaviour.mHalfPercent) {
     aResponse.setContentLength64(static_cast<std::int64_t>(echo.size()));
     aResponse.send() << echo.substr(0, echo.size() / 2) << std::flush;
-    CutConnection(aRequest);
+    CloseConnection(aRequest);
     return;
   }
   aResponse.set("X-Request-Id", id);
