--- a/bench/FaultsBench.cpp
+++ b/bench/FaultsBench.cpp
@@ -85,7 +85,7 @@
 {
   std::vector<double> detection;
   std::vector<double> falseEjections;
-  std::vector<double> wrong;
+  std::vector<double> failedPercent;
   int missed = 0;
   for (const auto& result : aResults) {
     if (result.mDetectionMs >= 0.0) {
@@ -94,7 +94,7 @@
       ++missed;
     }
     falseEjections.push_back(result.mFalseEjections);
-    wrong.push_back(100.0 * result.mFailedRequests / result.mRequests);
+    failedPercent.push_back(100.0 * result.mFailedRequests / result.mRequests);
   }
   const auto runs = static_cast<double>(aResults.size());
   if (!aNoServerAtFault) {
@@ -121,7 +121,11 @@
   }
   Print(
     { "false_ejections", aScenario, aPolicy, Mean(falseEjections), "per run" });
-  Print({ "wrong_requests", aScenario, aPolicy, Mean(wrong), "% of requests" });
+  Print({ "wrong_requests",
+          aScenario,
+          aPolicy,
+          Mean(failedPercent),
+          "% of requests" });
 }
 
 // Restricts the runs to one policy or scenario; an empty name selects all.
--- a/bench/LatencyBench.cpp
+++ b/bench/LatencyBench.cpp
@@ -21,7 +21,7 @@
 constexpr double kFullSeconds = 10.0;
 constexpr int kRates[] = { 150, 1000, 3000 }; // pairs a second
 constexpr Millis kCallTimeout{ 5000 };
-constexpr std::ptrdiff_t kMinWindow = 50; // samples for the p99 of a second
+constexpr std::ptrdiff_t kMinSamples = 50; // for the p99 of a second
 constexpr int kPipeRoundTrips = 60;
 constexpr Millis kPipeInterval{ 16 };
 
@@ -122,7 +122,7 @@
   }
   std::vector<double> p99;
   for (const auto& second : seconds) {
-    if (std::ssize(second) >= kMinWindow) {
+    if (std::ssize(second) >= kMinSamples) {
       p99.push_back(Quantile(second, 0.99));
     }
   }
--- a/bench/LimitsBench.cpp
+++ b/bench/LimitsBench.cpp
@@ -25,16 +25,19 @@
   return "asked";
 }
 
+// Sums over the seeds; the worst windows and the busiest box are maxima.
 struct Sums
 {
+  // Highest use of any window, as a share of what the limit allows: of all
+  // workspaces, and of those that stay at their usual rate.
   double mWorstWindow = 0.0;
-  double mWorstUsual = 0.0; // of workspaces that stay at their usual rate
+  double mWorstUsual = 0.0;
   double mOffered = 0.0;
   double mRejectedBelowLimit = 0.0;
   double mRejectedUsual = 0.0;
-  double mMessages = 0.0;
-  double mBusiest = 0.0;
-  double mItems = 0.0;
+  double mMessages = 0.0; // a second, per box
+  double mBusiest = 0.0;  // messages a second of the busiest box
+  double mItems = 0.0;    // a second, per box
 };
 
 void
--- a/bench/RequestPathBench.cpp
+++ b/bench/RequestPathBench.cpp
@@ -23,7 +23,7 @@
 constexpr int kThreads = 4;
 constexpr Millis kSettle{ 3000 };
 
-// Totals of all boxes since their start.
+// Totals of all boxes: since their start, and the current number of threads.
 struct Usage
 {
   double mCpuMs = 0.0;
@@ -164,30 +164,30 @@
   std::this_thread::sleep_for(kSettle);
   const auto before = UsageOf(fleet, boxes);
   std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
-  const auto rested = UsageOf(fleet, boxes);
+  const auto afterIdle = UsageOf(fleet, boxes);
   const int served = SendLoad(fleet, boxes, rate, seconds);
   const auto after = UsageOf(fleet, boxes);
   const double boxSeconds = boxes * seconds;
   PrintValue("rest",
              "processor",
-             (rested.mCpuMs - before.mCpuMs) / boxSeconds,
+             (afterIdle.mCpuMs - before.mCpuMs) / boxSeconds,
              "ms per box and s");
   PrintValue("rest",
              "wake-ups",
-             (rested.mSwitches - before.mSwitches) / boxSeconds,
+             (afterIdle.mSwitches - before.mSwitches) / boxSeconds,
              "per box and s");
-  PrintValue("rest", "threads", rested.mThreads / boxes, "per box");
-  const auto extra = [&](double aAfter, double aRested, double aBefore) {
-    return (aAfter - aRested - (aRested - aBefore)) / served;
+  PrintValue("rest", "threads", afterIdle.mThreads / boxes, "per box");
+  const auto extra = [&](double aAfter, double aAfterIdle, double aBefore) {
+    return (aAfter - aAfterIdle - (aAfterIdle - aBefore)) / served;
   };
   PrintValue("load", "served", served, "requests");
   PrintValue("load",
              "processor",
-             extra(after.mCpuMs, rested.mCpuMs, before.mCpuMs),
+             extra(after.mCpuMs, afterIdle.mCpuMs, before.mCpuMs),
              "ms per request");
   PrintValue("load",
              "wake-ups",
-             extra(after.mSwitches, rested.mSwitches, before.mSwitches),
+             extra(after.mSwitches, afterIdle.mSwitches, before.mSwitches),
              "per request");
   return 0;
 }
--- a/bench/sim/LimitFleet.cpp
+++ b/bench/sim/LimitFleet.cpp
@@ -155,8 +155,8 @@
   for (int box = 0; box < mOptions.mBoxes && found.size() < kCollectorsPerZone;
        ++box) {
     const auto& each = mBoxes[static_cast<std::size_t>(box)];
-    const bool gone = (each.mCut || askerCut) && box != aAsker;
-    if (each.mZone == aZone && !gone && !each.mDown) {
+    const bool unreachable = (each.mCut || askerCut) && box != aAsker;
+    if (each.mZone == aZone && !unreachable && !each.mDown) {
       found.push_back(box);
     }
   }
@@ -233,11 +233,11 @@
                &box,
                grants = collector.mGrants,
                warming = collector.mCollector->Warming(mNow),
-               question = report.mReplyToken,
+               replyToken = report.mReplyToken,
                replied] {
                 *replied = true;
                 box.mGate->OnGrants(grants, warming, mNow);
-                box.mReporter->OnReply(question, true, mNow);
+                box.mReporter->OnReply(replyToken, true, mNow);
               });
        });
   if (report->mReplyToken != 0) {
@@ -245,10 +245,10 @@
        [this,
         &box,
         incarnation = box.mIncarnation,
-        question = report->mReplyToken,
+        replyToken = report->mReplyToken,
         replied] {
          if (!*replied && box.mIncarnation == incarnation) {
-           box.mReporter->OnReply(question, false, mNow);
+           box.mReporter->OnReply(replyToken, false, mNow);
          }
        });
   }
@@ -282,16 +282,17 @@
   std::erase_if(box.mReporters, [this](const auto& aReporter) {
     return aReporter.second + kReporterExpiry < mNow;
   });
-  for (const auto& [entry, heard] : box.mReporters) {
-    auto& told = mBoxes[static_cast<std::size_t>(entry)];
-    Send(
-      aBox,
-      entry,
-      box.mGrants.size(),
-      [this,
-       &told,
-       warming = box.mCollector->Warming(mNow),
-       grants = box.mGrants] { told.mGate->OnGrants(grants, warming, mNow); });
+  for (const auto& [entry, lastReport] : box.mReporters) {
+    auto& reporter = mBoxes[static_cast<std::size_t>(entry)];
+    Send(aBox,
+         entry,
+         box.mGrants.size(),
+         [this,
+          &reporter,
+          warming = box.mCollector->Warming(mNow),
+          grants = box.mGrants] {
+           reporter.mGate->OnGrants(grants, warming, mNow);
+         });
   }
 }
 
--- a/bench/sim/LimitFleet.h
+++ b/bench/sim/LimitFleet.h
@@ -63,8 +63,8 @@
   std::vector<WorkspaceOutcome> mWorkspaces;
   double mMessagesPerBoxSecond = 0.0;
   double mItemsPerBoxSecond = 0.0; // usage counts and grants in the messages
-  double mMessagesOfBusiest =
-    0.0; // messages a second of the busiest box, sent and received
+  // Messages a second of the busiest box, sent and received.
+  double mMessagesOfBusiest = 0.0;
   double mCentralShare = 0.0; // share of requests that the central box decided
 };
 
--- a/bench/sim/Policies.cpp
+++ b/bench/sim/Policies.cpp
@@ -318,9 +318,9 @@
   auto& detector = mDetectors[index];
   detector.Observe(aEvidence, true, aNow);
   const auto servers = static_cast<std::size_t>(mServers);
-  const bool may = MayRemoveFromUse(
+  const bool mayRemove = MayRemoveFromUse(
     mUntil, PairIndex(aAttempt.mEntry, 0, mServers), servers, aNow);
-  if (detector.Suspicious() && may) {
+  if (detector.Suspicious() && mayRemove) {
     mUntil[index] = aNow + kBaselineEjectionTime;
     detector.Reset();
   }
--- a/bench/sim/Scenario.h
+++ b/bench/sim/Scenario.h
@@ -9,8 +9,8 @@
 
 namespace porttiller::bench {
 
-// A service of one of the two customers, with their server counts, slots and
-// delays, and with the request rate at the target size of the fleet.
+// A service of one of the two users of porttiller, with its server count, slots
+// and delays, and with its request rate at the target size of the fleet.
 struct Deployment
 {
   std::string mName;
--- a/bench/sim/Simulation.cpp
+++ b/bench/sim/Simulation.cpp
@@ -9,9 +9,8 @@
 
 constexpr Millis kTick{ 50 };
 constexpr Millis kDeadline{ 1000 };
-constexpr Millis kLostRequestTimeout{
-  150
-}; // then the entry revokes the attempt
+// The entry revokes an attempt after this time without a reply.
+constexpr Millis kLostRequestTimeout{ 150 };
 constexpr double kRepeatableShare = 0.6;
 constexpr double kCriticalShare = 0.2;
 constexpr double kSheddableShare = 0.3;
--- a/bench/tests/LimitFleetTest.cpp
+++ b/bench/tests/LimitFleetTest.cpp
@@ -43,8 +43,8 @@
 
 } // namespace
 
-TEST_CASE(
-  "All boxes together enforce the limits of workspaces that send far more")
+TEST_CASE("All boxes together enforce exceeded limits and reject no other "
+          "workspace below its limit")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
@@ -60,7 +60,8 @@
   }
 }
 
-TEST_CASE("A workspace above its limit is admitted as much as the limit allows")
+TEST_CASE("A workspace above its limit is admitted at least at its rate, and "
+          "not completely")
 {
   auto options = HotFleet(7);
   options.mHotFrom = Seconds(5);
@@ -75,7 +76,8 @@
   }
 }
 
-TEST_CASE("No window exceeds its limit when some or all collectors are killed")
+TEST_CASE(
+  "No window exceeds its limit when the collectors or all boxes are killed")
 {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
@@ -105,7 +107,8 @@
   }
 }
 
-TEST_CASE("Boxes without replies make no other box reject allowed requests")
+TEST_CASE("Boxes that receive no replies make no other box reject requests, "
+          "and no window exceeds its limit")
 {
   // A third of the boxes sends reports but receives no replies. Reports that
   // are sent again must not be counted twice.
@@ -127,7 +130,9 @@
   }
 }
 
-TEST_CASE("A lower limit applies after one window, a higher one at once")
+TEST_CASE(
+  "No window exceeds a limit that is lowered and raised again, and most, "
+  "but not all, requests are admitted")
 {
   auto options = HotFleet(3);
   options.mHotUntil = options.mHotFrom;
@@ -142,9 +147,8 @@
   CHECK(workspace.mAdmitted > workspace.mOffered / 2);
 }
 
-TEST_CASE(
-  "No window exceeds its limit under random cuts and kills; without faults "
-  "nothing is rejected")
+TEST_CASE("No window exceeds its limit under random cuts and kills; without "
+          "faults nothing below a limit is rejected")
 {
   const bool ok = rc::check([] {
     auto options = HotFleet(Draw<std::uint64_t>(1, 1'000'000));
