--- a/packages/home/src/Home.cpp
+++ b/packages/home/src/Home.cpp
@@ -117,7 +117,7 @@
   auto record = MakeRecord(aRequest, answer);
   const std::lock_guard lock(aShard.mMutex);
   if (answer.mOutcome == Outcome::kNotRun) {
-    aShard.mRegistry.Refuse(aRequest.mAttempt);
+    aShard.mRegistry.Reject(aRequest.mAttempt);
   } else {
     aShard.mRegistry.Finish(
       aRequest.mAttempt, answer.mOutcome, std::move(record));
@@ -142,7 +142,7 @@
   for (const auto& server : Servers()) {
     if (server->CancelWaiting(aAttempt)) {
       const std::lock_guard lock(shard.mMutex);
-      shard.mRegistry.Refuse(aAttempt);
+      shard.mRegistry.Reject(aAttempt);
       break;
     }
   }
--- a/packages/policy/include/porttiller/policy/AttemptPlan.h
+++ b/packages/policy/include/porttiller/policy/AttemptPlan.h
@@ -79,7 +79,7 @@
 private:
   // Whether one more server may receive the request after aServers others.
   bool MayReachAnother(int aServers = 0) const;
-  bool MayRepeat(const RetrySource& aRetry);
+  bool MayRetry(const RetrySource& aRetry);
 
   const bool mRepeatable;
   const AttemptPlanOptions mOptions;
--- a/packages/policy/include/porttiller/policy/AttemptRegistry.h
+++ b/packages/policy/include/porttiller/policy/AttemptRegistry.h
@@ -70,7 +70,7 @@
   AdmitVerdict Admit(const AttemptId& aId, TimePoint aNow);
 
   // An admitted attempt ends without having been sent to a backend server.
-  void Refuse(const AttemptId& aId);
+  void Reject(const AttemptId& aId);
 
   // An admitted attempt ends; aAnswer may be null.
   void Finish(const AttemptId& aId,
--- a/packages/policy/include/porttiller/policy/Balancer.h
+++ b/packages/policy/include/porttiller/policy/Balancer.h
@@ -17,7 +17,7 @@
 {
   kOpen,        // usable without restriction
   kAvoid,       // its home asks to prefer other servers
-  kDemoted,     // its home accepts only requests without another choice
+  kDemoted,     // its home accepts only last-resort requests
   kUnreachable, // its box does not answer: each attempt costs a timeout
   kClosed,      // its home rejects requests: ejected or leaving
   kTried        // this request was sent to it before
@@ -31,7 +31,8 @@
   int mInFlight = 0;          // requests of this entry
   double mReportedLoad = 0.0; // 0 idle, 1 all slots busy, above 1 queued
   int mSlots = 1;
-  bool mTrialDue = false; // it fails; a request that may fail should test it
+  // It is demoted; a request that can fail over should test it.
+  bool mTrialDue = false;
 };
 
 struct BalancerOptions
--- a/packages/policy/include/porttiller/policy/CircuitBreaker.h
+++ b/packages/policy/include/porttiller/policy/CircuitBreaker.h
@@ -26,9 +26,9 @@
   // trial fails.
   Millis mNonRepeatableTrialDelay{ 10'000 };
   // Errors that the server itself returns count as a failure if the probability
-  // of as many among the last kErrorWindow answers, at the usual error share of
-  // its service, is below this. Errors of all servers are caused by a
-  // dependency or by the requests.
+  // of as many among the last kErrorWindow answers, at the error rate of its
+  // service, is below this. Errors that all servers return are caused by a
+  // dependency or by the requests, not by this server.
   double mErrorSignificance = 0.02;
 };
 
@@ -59,10 +59,10 @@
   // Answers to requests from before the last failure are ignored. Returns true
   // if the state changed.
   bool OnSuccess(TimePoint aSent);
-  // The server returned an error of its own; aUsualErrorShare is the share of
+  // The server returned an error of its own; aServiceErrorRate is the share of
   // such answers over all servers of its service. Returns true if the state
   // changed.
-  bool OnError(double aUsualErrorShare, TimePoint aNow);
+  bool OnError(double aServiceErrorRate, TimePoint aNow);
   // Closes the breaker: the event that opened it was no failure.
   void Close();
 
--- a/packages/policy/include/porttiller/policy/CusumDetector.h
+++ b/packages/policy/include/porttiller/policy/CusumDetector.h
@@ -115,7 +115,7 @@
 
 private:
   double FailureScore() const;
-  bool InBurst(TimePoint aNow);
+  bool ExceedsBurst(TimePoint aNow);
   void ObserveLatency(Micros aLatency, bool aCountSlow);
 
   CusumDetectorOptions mOptions;
--- a/packages/policy/include/porttiller/policy/GossipFanout.h
+++ b/packages/policy/include/porttiller/policy/GossipFanout.h
@@ -22,7 +22,7 @@
 std::vector<std::size_t>
 ChooseReceivers(std::span<const AvailabilityZone> aZones,
                 const AvailabilityZone& aOwnZone,
-                const GossipFanout& aOptions,
+                const GossipFanout& aFanout,
                 std::uint64_t aRandom);
 
 } // namespace porttiller
--- a/packages/policy/include/porttiller/policy/LimitGate.h
+++ b/packages/policy/include/porttiller/policy/LimitGate.h
@@ -1,8 +1,8 @@
 // Admits the requests of workspaces at one entry, so that all entries together
 // keep each workspace's rate limit. Counts requests for a collector of its zone
 // (UsageCollector), which grants the shares to admit of workspaces near their
-// limit; the requests of all others are admitted. Covers a workspace that
-// sends several times its limit, spread thinly over every box.
+// limit; the requests of all others are admitted. This also holds for
+// a workspace that spreads several times its limit thinly over all boxes.
 #pragma once
 
 #include "porttiller/policy/RequestLimit.h"
@@ -36,7 +36,7 @@
 struct LimitVerdict
 {
   bool mAdmitted = false;
-  // When not admitted: the time to wait before a repeat.
+  // When not admitted: the time to wait before a retry.
   Millis mRetryAfter{ 0 };
   // The admitted share of this workspace and priority, 0 to 1.
   double mShare = 1.0;
--- a/packages/policy/include/porttiller/policy/Membership.h
+++ b/packages/policy/include/porttiller/policy/Membership.h
@@ -110,8 +110,9 @@
   Incarnation IncarnationOf(const BoxName& aBox) const;
   // False while only other boxes reach it.
   bool PathWorks(const BoxName& aBox) const;
-  // Whether to send requests to the box while other boxes would take them. A
-  // suspect may still refute, but requests lost on the way to it stay lost.
+  // Whether to send requests to the box while other boxes can take them. False
+  // for a suspect: it may still refute, but requests sent to it meanwhile may
+  // be lost.
   bool IsRoutable(const BoxName& aBox) const;
   std::vector<BoxName> NonRoutableBoxes() const;
   // The boxes that are neither dead nor leaving, this one included.
--- a/packages/policy/include/porttiller/policy/SilenceDetector.h
+++ b/packages/policy/include/porttiller/policy/SilenceDetector.h
@@ -26,7 +26,7 @@
   double mThreshold = 2.6;
   // The sum is limited to this value, so that two answers end any alarm.
   double mMaxScore = 4.6;
-  // The newest requests, which count.
+  // Only this many of the newest requests count.
   std::size_t mMaxRequests = 16;
 };
 
--- a/packages/policy/include/porttiller/policy/SlotQueue.h
+++ b/packages/policy/include/porttiller/policy/SlotQueue.h
@@ -1,6 +1,6 @@
 // Admission control of one backend server: its slots and a short queue for
 // them. Under overload, requests of the lowest priority are shed first,
-// immediately and with a time to wait before a repeat.
+// immediately and with a time to wait before a retry.
 #pragma once
 
 #include "porttiller/core/Outcome.h"
@@ -26,7 +26,7 @@
   // sheddable.
   std::array<double, kPriorityCount> mQueueShare = { 1.0, 0.75, 0.4 };
   Micros mInitialServiceTime{ 20'000 };
-  // Share of the usual service time that must be left before the deadline when
+  // Share of the mean service time that must be left before the deadline when
   // a request starts; one that cannot end in time only occupies a slot.
   double mMinServiceShare = 0.0;
 };
--- a/packages/policy/include/porttiller/policy/Subset.h
+++ b/packages/policy/include/porttiller/policy/Subset.h
@@ -33,8 +33,9 @@
   bool mSameZone = false;
 };
 
-// Position of the entry among the entries of its zone. Together these cover the
-// servers of the zone evenly, and the servers of all other zones, too.
+// Position of the entry among the entries of its zone. The subsets of a zone's
+// entries together cover the servers of the zone evenly, and those of all other
+// zones, too.
 struct SubsetEntry
 {
   std::size_t mRank = 0;    // entries with a smaller RingPosition
--- a/packages/policy/include/porttiller/policy/WatchSchedule.h
+++ b/packages/policy/include/porttiller/policy/WatchSchedule.h
@@ -37,12 +37,12 @@
   // Returns the duration of the next long poll.
   Millis NextWait(const WatchPlace& aPlace);
   // A change ended the polls of all watchers in the zone at one moment, so
-  // their turns start again.
+  // staggering starts again.
   void OnChange() { mFirstWait = true; }
 
 private:
   const WatchScheduleOptions mOptions;
-  bool mFirstWait = true; // the next poll is the first of its turns
+  bool mFirstWait = true; // the next poll starts the stagger
   std::optional<WatchPlace> mPlace;
 };
 
--- a/packages/policy/src/AttemptPlan.cpp
+++ b/packages/policy/src/AttemptPlan.cpp
@@ -67,7 +67,7 @@
   ++mServersReached;
   --mInFlight;
   mMaybeRun = true;
-  mEnded = !aFailed || !MayRepeat(aRetry);
+  mEnded = !aFailed || !MayRetry(aRetry);
 }
 
 void
@@ -95,7 +95,7 @@
       return;
   }
   if (mEnded && mInFlight == 0) {
-    mEnded = !MayRepeat(aRetry); // an earlier failure waited for this one
+    mEnded = !MayRetry(aRetry); // another attempt failed while it ran
   }
 }
 
@@ -105,12 +105,12 @@
   ++mServersReached;
   --mInFlight;
   mMaybeRun = true;
-  mEnded = !MayRepeat(aRetry);
+  mEnded = !MayRetry(aRetry);
 }
 
 // Spends no retry while another attempt runs, since that one may still succeed.
 bool
-AttemptPlan::MayRepeat(const RetrySource& aRetry)
+AttemptPlan::MayRetry(const RetrySource& aRetry)
 {
   return mRepeatable && mInFlight == 0 && MayReachAnother() && aRetry();
 }
--- a/packages/policy/src/AttemptRegistry.cpp
+++ b/packages/policy/src/AttemptRegistry.cpp
@@ -78,7 +78,7 @@
 }
 
 void
-AttemptRegistry::Refuse(const AttemptId& aId)
+AttemptRegistry::Reject(const AttemptId& aId)
 {
   auto* record = Find(aId);
   if (record != nullptr && record->mState == AttemptState::kRunning) {
--- a/packages/policy/src/Batcher.cpp
+++ b/packages/policy/src/Batcher.cpp
@@ -20,8 +20,9 @@
   if (!mLastBatch) {
     return Millis(0);
   }
-  const auto left = std::chrono::ceil<Millis>(*mLastBatch + mInterval - aNow);
-  return std::max(Millis(0), left);
+  const auto remaining =
+    std::chrono::ceil<Millis>(*mLastBatch + mInterval - aNow);
+  return std::max(Millis(0), remaining);
 }
 
 void
--- a/packages/policy/src/CircuitBreaker.cpp
+++ b/packages/policy/src/CircuitBreaker.cpp
@@ -81,11 +81,11 @@
 }
 
 bool
-CircuitBreaker::OnError(double aUsualErrorShare, TimePoint aNow)
+CircuitBreaker::OnError(double aServiceErrorRate, TimePoint aNow)
 {
   RecordAnswer(true);
   const double share =
-    std::clamp(aUsualErrorShare, kMinErrorShare, kMaxErrorShare);
+    std::clamp(aServiceErrorRate, kMinErrorShare, kMaxErrorShare);
   if (mState == BreakerState::kHalfOpen) {
     // A trial is inconclusive if errors are common on all servers.
     return share < kMaxConclusiveErrorShare && OnFailure(aNow);
--- a/packages/policy/src/CusumDetector.cpp
+++ b/packages/policy/src/CusumDetector.cpp
@@ -60,9 +60,10 @@
   }
 }
 
-// Counts a failure. Returns true if enough failures of its burst have counted.
+// Counts a failure. Returns true if it is not among the first mBurstFailures of
+// its burst.
 bool
-CusumDetector::InBurst(TimePoint aNow)
+CusumDetector::ExceedsBurst(TimePoint aNow)
 {
   if (mBurstCount == 0 || aNow - mBurstStart >= mOptions.mBurstWindow) {
     mBurstStart = aNow;
@@ -76,7 +77,7 @@
                        bool aCountSlow,
                        TimePoint aNow)
 {
-  if (aEvidence.mFailed && InBurst(aNow)) {
+  if (aEvidence.mFailed && ExceedsBurst(aNow)) {
     return;
   }
   for (auto& test : mFailures) {
--- a/packages/policy/src/GossipFanout.cpp
+++ b/packages/policy/src/GossipFanout.cpp
@@ -10,7 +10,7 @@
 std::vector<std::size_t>
 ChooseReceivers(std::span<const AvailabilityZone> aZones,
                 const AvailabilityZone& aOwnZone,
-                const GossipFanout& aOptions,
+                const GossipFanout& aFanout,
                 std::uint64_t aRandom)
 {
   std::vector<std::size_t> order(aZones.size());
@@ -22,7 +22,7 @@
   for (const auto index : order) {
     const auto& zone = aZones[index];
     const auto limit =
-      zone == aOwnZone ? aOptions.mOwnZone : aOptions.mPerOtherZone;
+      zone == aOwnZone ? aFanout.mOwnZone : aFanout.mPerOtherZone;
     if (taken[zone] < limit) {
       ++taken[zone];
       receivers.push_back(index);
--- a/packages/policy/src/LimitGate.cpp
+++ b/packages/policy/src/LimitGate.cpp
@@ -17,7 +17,7 @@
 }
 
 // From half to one and a half times aSeconds, so that callers rejected together
-// do not repeat their requests together.
+// do not retry together.
 Millis
 JitteredRetryAfter(double aSeconds, std::uint64_t aRandom)
 {
@@ -147,7 +147,7 @@
     return verdict;
   }
   verdict.mAdmitted = false;
-  // With this mean delay, repeats arrive no faster than the share admits.
+  // With this mean delay, retries arrive no faster than the share admits.
   verdict.mRetryAfter =
     JitteredRetryAfter(1.0 / std::max(share, 0.01) - 1.0, aRandom);
   return verdict;
--- a/packages/policy/src/Membership.cpp
+++ b/packages/policy/src/Membership.cpp
@@ -92,19 +92,19 @@
 std::vector<BoxName>
 Membership::Neighbors() const
 {
-  const auto place = [](const BoxName& aBox) {
+  const auto position = [](const BoxName& aBox) {
     const auto& name = aBox.Value();
     return std::pair(XXH64(name.data(), name.size(), kRingSeed), name);
   };
   auto ring = OtherBoxes(true);
   std::sort(
     ring.begin(), ring.end(), [&](const auto& aLeft, const auto& aRight) {
-      return place(aLeft) < place(aRight);
+      return position(aLeft) < position(aRight);
     });
-  const auto own = place(mSelf);
+  const auto own = position(mSelf);
   const auto next =
     std::find_if(ring.begin(), ring.end(), [&](const auto& aBox) {
-      return place(aBox) > own;
+      return position(aBox) > own;
     });
   const auto first = static_cast<std::size_t>(next - ring.begin());
   std::vector<BoxName> neighbors;
--- a/packages/policy/src/RouteTimes.cpp
+++ b/packages/policy/src/RouteTimes.cpp
@@ -6,7 +6,7 @@
 
 // Limits memory; a service has 20 routes on average at the target size.
 constexpr std::size_t kMaxRoutes = 128;
-// Fewer samples of a route say too little about its slowest requests.
+// With fewer samples, the tail of a route's distribution is unreliable.
 constexpr int kMinSamples = 5;
 constexpr double kNinetiethPercentileSigmas = 1.2816; // above the median
 
--- a/packages/policy/src/Subset.cpp
+++ b/packages/policy/src/Subset.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Keeps positions independent of other uses of the hash.
-constexpr std::uint64_t kPlaceSeed = 0x737562;
+// Keeps ring positions independent of other uses of the hash.
+constexpr std::uint64_t kSubsetRingSeed = 0x737562;
 
 std::vector<std::size_t>
 OnRing(std::span<const SubsetServer> aServers, bool aSameZone)
@@ -47,7 +47,7 @@
 std::uint64_t
 RingPosition(std::string_view aName)
 {
-  return XXH64(aName.data(), aName.size(), kPlaceSeed);
+  return XXH64(aName.data(), aName.size(), kSubsetRingSeed);
 }
 
 Subset
--- a/packages/policy/src/UsageCollector.cpp
+++ b/packages/policy/src/UsageCollector.cpp
@@ -106,14 +106,14 @@
   if (aState.mUnprocessed != nothing) {
     aState.mLastUsedAt = aNow;
   }
-  const double passed = SecondsOf(aNow - aState.mUpdatedAt);
+  const double elapsed = SecondsOf(aNow - aState.mUpdatedAt);
   aState.mUpdatedAt = aNow;
   aState.mLevel =
     std::min(mPart * aLimit.mBurst,
-             aState.mLevel + passed * mPart * aLimit.mRatePerSecond) -
+             aState.mLevel + elapsed * mPart * aLimit.mRatePerSecond) -
     aState.mUnprocessed.mAdmitted;
   const double horizon = SecondsOf(mOptions.mHorizon);
-  const double decay = std::exp(-passed / horizon);
+  const double decay = std::exp(-elapsed / horizon);
   for (std::size_t i = 0; i < kPriorityCount; ++i) {
     auto& demand = aState.mDemand.at(i);
     demand = demand * decay + aState.mUnprocessed.mOffered.at(i) / horizon;
@@ -144,20 +144,20 @@
   const double tolerance =
     mPart * ToleranceShareAt(demand / std::max(rateAllowance, 1e-9)) *
     ToleranceOf(aLimit, mOptions.mBounds);
-  const double room = std::max(kMinRateFraction * rateAllowance,
-                               aState.mLevel + tolerance + rateAllowance);
-  aState.mShare = demand <= room ? 1.0 : room / demand;
+  const double allowance = std::max(kMinRateFraction * rateAllowance,
+                                    aState.mLevel + tolerance + rateAllowance);
+  aState.mShare = demand <= allowance ? 1.0 : allowance / demand;
   if (aState.mShare >= 1.0) {
     return std::nullopt;
   }
   const double common = kCommonFraction * aState.mShare;
-  double left = room - common * demand;
+  double remaining = allowance - common * demand;
   WorkspaceGrant grant{ .mWorkspace = aState.mUnprocessed.mWorkspace };
   for (std::size_t i = 0; i < kPriorityCount; ++i) {
     const double wanted = aState.mDemand.at(i) * horizon;
-    const double given = std::min(left, (1.0 - common) * wanted);
+    const double given = std::min(remaining, (1.0 - common) * wanted);
     grant.mShares.at(i) = common + (wanted > 0.0 ? given / wanted : 0.0);
-    left -= given;
+    remaining -= given;
   }
   return grant;
 }
--- a/packages/policy/tests/AttemptRegistryTest.cpp
+++ b/packages/policy/tests/AttemptRegistryTest.cpp
@@ -69,8 +69,8 @@
   // The oracle keeps every record; the registry keeps four.
   const bool ok = rc::check([] {
     AttemptRegistry registry({ .mMaxRecords = 4 });
-    std::set<AttemptId> handedOver;
-    std::set<AttemptId> saidNotRun;
+    std::set<AttemptId> admitted;
+    std::set<AttemptId> reportedNotRun;
     auto now = kStart;
     const auto steps = Draw(1, 120);
     for (int step = 0; step < steps; ++step) {
@@ -80,13 +80,13 @@
         case 0:
         case 1:
           if (registry.Admit(id, now) == AdmitVerdict::kAdmitted) {
-            RC_ASSERT(!handedOver.contains(id));
-            RC_ASSERT(!saidNotRun.contains(id));
+            RC_ASSERT(!admitted.contains(id));
+            RC_ASSERT(!reportedNotRun.contains(id));
             if (Draw(0, 4) == 0) {
-              registry.Refuse(id);
-              saidNotRun.insert(id);
+              registry.Reject(id);
+              reportedNotRun.insert(id);
             } else {
-              handedOver.insert(id);
+              admitted.insert(id);
             }
           }
           break;
@@ -95,13 +95,13 @@
           break;
         case 3:
           if (registry.Revoke(id, now).mState == AttemptState::kNotRun) {
-            RC_ASSERT(!handedOver.contains(id));
-            saidNotRun.insert(id);
+            RC_ASSERT(!admitted.contains(id));
+            reportedNotRun.insert(id);
           }
           break;
         default:
           if (registry.Query(id).mState == AttemptState::kNotRun) {
-            RC_ASSERT(!handedOver.contains(id));
+            RC_ASSERT(!admitted.contains(id));
           }
           break;
       }
--- a/packages/policy/tests/BatcherTest.cpp
+++ b/packages/policy/tests/BatcherTest.cpp
@@ -68,7 +68,7 @@
 
 constexpr int kZones = 5;
 constexpr int kHopMs = 3;
-constexpr int kStartSpreadMs = 3000; // boxes become known over this time
+constexpr int kStartSpreadMs = 3000; // each box starts within it
 
 struct FleetStartCounts
 {
@@ -154,10 +154,10 @@
     mEvents.push({ aMs, mOrder++, aBox, std::move(aRecords), aOwnRecord });
   }
 
-  void Send(int aFrom, const std::vector<int>& aRecords, GossipFanout aSpread)
+  void Send(int aFrom, const std::vector<int>& aRecords, GossipFanout aFanout)
   {
     const auto& zone = mZones[static_cast<std::size_t>(aFrom)];
-    for (const auto to : ChooseReceivers(mZones, zone, aSpread, mRandom())) {
+    for (const auto to : ChooseReceivers(mZones, zone, aFanout, mRandom())) {
       ++mNodes[static_cast<std::size_t>(aFrom)].mSent;
       Schedule(mNowMs + kHopMs, static_cast<int>(to), aRecords);
     }
--- a/packages/policy/tests/CircuitBreakerTest.cpp
+++ b/packages/policy/tests/CircuitBreakerTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kFewErrors = 0.01; // error share of a healthy service
+constexpr double kFewErrors = 0.01; // error rate of a healthy service
 const TimePoint kStart{ Millis(1000) };
 
 } // namespace
--- a/packages/policy/tests/MembershipTest.cpp
+++ b/packages/policy/tests/MembershipTest.cpp
@@ -222,8 +222,8 @@
 
 TEST_CASE("No request goes to a suspect while other boxes would take it")
 {
-  // Otherwise requests that are not repeatable are lost on the way to a box
-  // that is cut off, for the three seconds that it has to refute.
+  // Otherwise non-repeatable requests to a box that is cut off are lost during
+  // the three seconds that it has to refute.
   auto a = MakeMember(kBoxes[0]);
   a.OnReached(kBoxes[1], Incarnation(1));
   CHECK(a.IsRoutable(kBoxes[1]));
@@ -303,10 +303,10 @@
 {
   const auto boxes = MakeBoxes(353);
   std::vector<Membership> nodes;
-  std::map<BoxName, std::size_t> places;
+  std::map<BoxName, std::size_t> indices;
   nodes.reserve(boxes.size());
   for (const auto& box : boxes) {
-    places[box] = nodes.size();
+    indices[box] = nodes.size();
     nodes.emplace_back(box, Incarnation(1));
     nodes.back().SetBoxes(boxes);
     for (const auto& other : boxes) {
@@ -326,7 +326,7 @@
     ++rounds;
     for (std::size_t from = 0; from < nodes.size(); ++from) {
       const auto to = nodes[from].NextProbe(random());
-      auto& other = nodes[places.at(*to)];
+      auto& other = nodes[indices.at(*to)];
       other.OnUpdates(nodes[from].Spread(*to), kStart);
       nodes[from].OnUpdates(other.Spread(boxes[from]), kStart);
     }
--- a/packages/policy/tests/RetryShareTest.cpp
+++ b/packages/policy/tests/RetryShareTest.cpp
@@ -11,18 +11,18 @@
 constexpr int kSeconds = 40;
 constexpr int kWindowS = 10;
 constexpr double kHomeRequestsPerS = 6.0; // first attempts per second
-constexpr double kRepeatShare = 0.07;     // of all requests
-constexpr int kHomesAsked = 4;            // by one repeat
+constexpr double kRetriedShare = 0.07;    // of all requests
+constexpr int kMaxHomesTried = 4;         // for one retry
 const RetryBound kFleet{ .mShare = 0.2, .mBurst = 630.0 };
 
 struct Replay
 {
-  double mRejectedShare = 0.0; // of the requests that need a repeat
-  double mMaxBoundUse = 0.0;   // repeats over allowed repeats in any window
+  double mRejectedShare = 0.0; // of the requests that need a retry
+  double mMaxBoundUse = 0.0;   // retries over allowed retries in any window
 };
 
-// 1,600 requests per second over 266 homes; each that fails asks up to four
-// homes for a repeat, as entries do.
+// 1,600 requests per second over 266 homes; each that fails tries up to four
+// homes for a retry, as entries do.
 Replay
 RunReplay(const RetryBudgetOptions& aHome, unsigned aSeed)
 {
@@ -34,31 +34,31 @@
   std::uniform_real_distribution<double> uniform;
   std::uniform_int_distribution<std::size_t> any(0, kHomes - 1);
   const int perSecond = static_cast<int>(kHomes * kHomeRequestsPerS);
-  std::vector<int> repeats(kSeconds);
+  std::vector<int> retries(kSeconds);
   int needed = 0;
-  int refused = 0;
+  int rejected = 0;
   for (int second = 0; second < kSeconds; ++second) {
     for (int i = 0; i < perSecond; ++i) {
       const TimePoint now{ Millis(second * 1000 + i * 1000 / perSecond) };
       homes[any(random)].OnFirstAttempt(now);
-      if (uniform(random) >= kRepeatShare) {
+      if (uniform(random) >= kRetriedShare) {
         continue;
       }
       ++needed;
-      int asked = 0;
-      while (asked < kHomesAsked && !homes[any(random)].TryRetry()) {
-        ++asked;
+      int tried = 0;
+      while (tried < kMaxHomesTried && !homes[any(random)].TryRetry()) {
+        ++tried;
       }
-      (asked < kHomesAsked ? repeats[static_cast<std::size_t>(second)]
-                           : refused) += 1;
+      (tried < kMaxHomesTried ? retries[static_cast<std::size_t>(second)]
+                              : rejected) += 1;
     }
   }
-  Replay replay{ .mRejectedShare = static_cast<double>(refused) / needed };
+  Replay replay{ .mRejectedShare = static_cast<double>(rejected) / needed };
   const double allowed = kFleet.mShare * perSecond * kWindowS + kFleet.mBurst;
-  for (std::size_t from = 0; from + kWindowS <= repeats.size(); ++from) {
+  for (std::size_t from = 0; from + kWindowS <= retries.size(); ++from) {
     int used = 0;
     for (std::size_t i = from; i < from + kWindowS; ++i) {
-      used += repeats[i];
+      used += retries[i];
     }
     replay.mMaxBoundUse = std::max(replay.mMaxBoundUse, used / allowed);
   }
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("Failures at hundreds of homes get the repeats that the fleet allows")
+TEST_CASE("Failures at hundreds of homes get the retries that the fleet allows")
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
@@ -83,7 +83,7 @@
   "for any")
 {
   // A service's burst of 50 also binds a fleet that allows 630, and leaves each
-  // home less than one repeat.
+  // home less than one retry.
   const auto tight =
     Tighter(UsablePartOf(kFleet), { .mShare = 0.2, .mBurst = 50.0 });
   CHECK(tight.mBurst == 50.0);
--- a/packages/policy/tests/SilenceDetectorTest.cpp
+++ b/packages/policy/tests/SilenceDetectorTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 const TimePoint kStart{ Millis(100'000) };
-constexpr Millis kUsualTime{ 400 };
+constexpr Millis kTypicalTime{ 400 };
 constexpr Millis kOverdueTime{ 4000 };
 constexpr int kAnswers = 50;
 
@@ -26,8 +26,8 @@
   SilenceDetectorFixture()
   {
     for (int i = 0; i < kAnswers; ++i) {
-      mModel.Observe(kUsualTime / 2);
-      mModel.Observe(kUsualTime * 2);
+      mModel.Observe(kTypicalTime / 2);
+      mModel.Observe(kTypicalTime * 2);
     }
   }
 
@@ -52,22 +52,22 @@
 } // namespace
 
 TEST_CASE_FIXTURE(SilenceDetectorFixture,
-                  "Requests of a usual age raise no alarm")
+                  "Requests of a typical age raise no alarm")
 {
   Start(1);
   Start(2);
-  CHECK_FALSE(Alarms(kUsualTime));
+  CHECK_FALSE(Alarms(kTypicalTime));
 }
 
 TEST_CASE_FIXTURE(SilenceDetectorFixture,
                   "Several unanswered requests raise an alarm sooner than one")
 {
   Start(1);
-  CHECK_FALSE(Alarms(kUsualTime * 5 / 2));
+  CHECK_FALSE(Alarms(kTypicalTime * 5 / 2));
   CHECK(Alarms(kOverdueTime));
   Start(2);
   Start(3);
-  CHECK(Alarms(kUsualTime * 5 / 2));
+  CHECK(Alarms(kTypicalTime * 5 / 2));
 }
 
 TEST_CASE_FIXTURE(
--- a/packages/policy/tests/SubsetTest.cpp
+++ b/packages/policy/tests/SubsetTest.cpp
@@ -36,16 +36,17 @@
 }
 
 SubsetEntry
-PlaceOf(const std::string& aEntry, const std::vector<std::string>& aEntries)
+SubsetEntryOf(const std::string& aEntry,
+              const std::vector<std::string>& aEntries)
 {
-  SubsetEntry place{ .mEntries = 0 };
+  SubsetEntry entry{ .mEntries = 0 };
   for (const auto& other : aEntries) {
     if (ZoneOf(other) == ZoneOf(aEntry)) {
-      ++place.mEntries;
-      place.mRank += RingPosition(other) < RingPosition(aEntry) ? 1 : 0;
+      ++entry.mEntries;
+      entry.mRank += RingPosition(other) < RingPosition(aEntry) ? 1 : 0;
     }
   }
-  return place;
+  return entry;
 }
 
 // The servers in the subset of an entry.
@@ -58,7 +59,8 @@
     servers.push_back({ .mPlace = RingPosition(server),
                         .mSameZone = ZoneOf(server) == ZoneOf(aEntry) });
   }
-  const auto subset = ChooseSubset(servers, PlaceOf(aEntry, aFleet.mEntries));
+  const auto subset =
+    ChooseSubset(servers, SubsetEntryOf(aEntry, aFleet.mEntries));
   REQUIRE(subset.mOrder.size() == servers.size());
   std::set<std::string> names;
   for (std::size_t i = 0; i < subset.mSize; ++i) {
--- a/packages/policy/tests/WatchScheduleTest.cpp
+++ b/packages/policy/tests/WatchScheduleTest.cpp
@@ -18,9 +18,9 @@
 {
   std::vector<Millis> ends;
   for (std::size_t rank = aRejected; rank < aWatchers; ++rank) {
-    WatchSchedule turns({ .mStep = kStep });
+    WatchSchedule schedule({ .mStep = kStep });
     for (Millis at{ 0 }; at < kDuration;) {
-      at += turns.NextWait({ .mRank = rank, .mCount = aWatchers });
+      at += schedule.NextWait({ .mRank = rank, .mCount = aWatchers });
       ends.push_back(at);
     }
   }
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("Of polls that all become unresponsive one ends in every step")
+TEST_CASE("If all polls become unresponsive, one of them ends in every step")
 {
   for (std::size_t watchers = 1; watchers <= 5; ++watchers) {
     CHECK(LongestGap(EndTimesOf(watchers, 0)) <= kStep);
@@ -59,14 +59,14 @@
   CHECK(LongestGap(EndTimesOf(3, 2)) <= 3 * kStep);
 }
 
-TEST_CASE("Turns start again after a change and at another position")
+TEST_CASE("Staggering starts again after a change and at another position")
 {
-  WatchSchedule turns({ .mStep = kStep });
+  WatchSchedule schedule({ .mStep = kStep });
   const WatchPlace second{ .mRank = 1, .mCount = 3 };
-  CHECK(turns.NextWait(second) == 2 * kStep);
-  CHECK(turns.NextWait(second) == 3 * kStep);
-  turns.OnChange();
-  CHECK(turns.NextWait(second) == 2 * kStep);
-  CHECK(turns.NextWait({ .mRank = 0, .mCount = 3 }) == kStep);
-  CHECK(turns.NextWait({ .mRank = 0, .mCount = 3 }) == 3 * kStep);
+  CHECK(schedule.NextWait(second) == 2 * kStep);
+  CHECK(schedule.NextWait(second) == 3 * kStep);
+  schedule.OnChange();
+  CHECK(schedule.NextWait(second) == 2 * kStep);
+  CHECK(schedule.NextWait({ .mRank = 0, .mCount = 3 }) == kStep);
+  CHECK(schedule.NextWait({ .mRank = 0, .mCount = 3 }) == 3 * kStep);
 }
--- a/packages/policy/tests/WorkspaceLimitTest.cpp
+++ b/packages/policy/tests/WorkspaceLimitTest.cpp
@@ -154,10 +154,10 @@
   CHECK(shares[0] > shares[1]);
   CHECK(shares[1] >= shares[2]);
   CHECK(shares[2] > 0.1);
-  const WorkspaceUse usual{ .mWorkspace = kName,
-                            .mOffered = { 0, 1, 0 },
-                            .mAdmitted = 1 };
-  CHECK(Feed(collector, usual, Millis(3000), now).empty());
+  const WorkspaceUse lowUse{ .mWorkspace = kName,
+                             .mOffered = { 0, 1, 0 },
+                             .mAdmitted = 1 };
+  CHECK(Feed(collector, lowUse, Millis(3000), now).empty());
 }
 
 TEST_CASE("UsageCollector counts other zones and sends its own counts once")
@@ -187,22 +187,22 @@
   UseReporter reporter;
   CHECK_FALSE(reporter.Next(gate, kCollectors, kStart));
   AdmittedOf(gate, 3, kStart);
-  const auto asked = reporter.Next(gate, kCollectors, kStart);
-  REQUIRE(asked);
-  CHECK(asked->mCollector == kCollectors[0]);
-  CHECK(asked->mReplyToken != 0);
+  const auto report = reporter.Next(gate, kCollectors, kStart);
+  REQUIRE(report);
+  CHECK(report->mCollector == kCollectors[0]);
+  CHECK(report->mReplyToken != 0);
   AdmittedOf(gate, 2, kStart);
   const auto next = reporter.Next(gate, kCollectors, kStart + Millis(250));
   REQUIRE(next);
   CHECK(next->mReplyToken == 0);
   // No reply: all five go to the second collector.
-  reporter.OnReply(asked->mReplyToken, false, kStart + Millis(400));
+  reporter.OnReply(report->mReplyToken, false, kStart + Millis(400));
   const auto again = reporter.Next(gate, kCollectors, kStart + Millis(500));
   REQUIRE(again);
   CHECK(again->mCollector == kCollectors[1]);
   CHECK(AdmittedIn(again->mUses) == 5);
   // A late reply of the first collector confirms nothing.
-  reporter.OnReply(asked->mReplyToken, true, kStart + Millis(510));
+  reporter.OnReply(report->mReplyToken, true, kStart + Millis(510));
   // No reply again: the five are not sent a third time, new counts are.
   reporter.OnReply(again->mReplyToken, false, kStart + Millis(900));
   AdmittedOf(gate, 1, kStart);
@@ -216,8 +216,8 @@
   LimitGate gate;
   UseReporter reporter;
   AdmittedOf(gate, 3, kStart);
-  const auto asked = reporter.Next(gate, kCollectors, kStart);
-  REQUIRE(asked);
+  const auto report = reporter.Next(gate, kCollectors, kStart);
+  REQUIRE(report);
   const auto moved =
     reporter.Next(gate, { BoxName("third") }, kStart + Millis(250));
   REQUIRE(moved);
