--- a/packages/home/include/porttiller/home/ServerBreaker.h
+++ b/packages/home/include/porttiller/home/ServerBreaker.h
@@ -56,8 +56,8 @@
   const RouteTimes& mTimes;
   CircuitBreaker mBreaker;
   SilenceDetector mSilence;
-  double mServiceErrorRate =
-    0.0; // running mean of the service's rate, from entries
+  // Running mean of the service's error rate that entries send with requests.
+  double mServiceErrorRate = 0.0;
   bool mOpenedBySilence = false; // whether silence opened the breaker
 };
 
--- a/packages/home/include/porttiller/home/ServerCall.h
+++ b/packages/home/include/porttiller/home/ServerCall.h
@@ -19,8 +19,8 @@
              const ShutdownDeadline& aShutdownDeadline);
 
   // Returns kNotRun only when nothing was sent, or when the server reports that
-  // it did not run the request. The refusal is kNoServer when another server
-  // answers at the address.
+  // it did not run the request. The reject reason is kNoServer when another
+  // server answers at the address.
   HomeAnswer Run(const HomeRequest& aRequest);
 
 private:
--- a/packages/home/src/LocalServer.cpp
+++ b/packages/home/src/LocalServer.cpp
@@ -89,9 +89,9 @@
   }
 }
 
-// A leaving server must not receive requests seconds after its box announced
-// that it sends no more, and a server that hangs frees slots only by timeouts.
-// Another server may still accept the rejected requests.
+// Otherwise, waiting requests would reach a leaving server seconds after its
+// box announced that no more will be sent, and a hanging server would free
+// slots for them only by timeouts. Another server may still accept them.
 void
 LocalServer::RejectWaiters(RejectReason aRejectReason, Millis aRetryAfter)
 {
@@ -456,14 +456,14 @@
 {
   const auto it = mWaiters.find(aTicket);
   const auto state = it->second.mState;
-  const auto refusal = it->second.mRejectReason;
+  const auto rejectReason = it->second.mRejectReason;
   const auto retryAfter = it->second.mRetryAfter;
   mWaiters.erase(it);
   switch (state) {
     case WaitState::kStarted:
       return std::nullopt;
     case WaitState::kRejected:
-      return RejectLocked(refusal, retryAfter);
+      return RejectLocked(rejectReason, retryAfter);
     case WaitState::kWaiting:
       mQueue.Cancel(aTicket);
       break;
--- a/packages/home/src/ServerCall.cpp
+++ b/packages/home/src/ServerCall.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Millis kRetryAfter{ 1000 };
-// How long after its deadline the answer of a request is awaited whose caller
-// may query the outcome later.
+// How long past the deadline to wait for an answer if the caller may query the
+// outcome later.
 constexpr Millis kLateAnswerWait{ 5000 };
 // Backend servers close idle connections after about 10 s. The pool closes them
 // earlier, so that no request is sent on a connection that is being closed.
@@ -48,10 +48,10 @@
   const auto& names = mNames;
   auto http = aRequest.mHttp;
   RemoveHeader(http.mHeaders, names.mServerDeadline);
-  const auto left = std::chrono::ceil<Millis>(aRequest.mDeadline - Now());
+  const auto remaining = std::chrono::ceil<Millis>(aRequest.mDeadline - Now());
   http.mHeaders.push_back(
     { names.mServerDeadline,
-      std::to_string(std::max<Millis::rep>(1, left.count())) });
+      std::to_string(std::max<Millis::rep>(1, remaining.count())) });
   if (!names.mExpectedServer.empty()) {
     RemoveHeader(http.mHeaders, names.mExpectedServer);
     http.mHeaders.push_back({ names.mExpectedServer, mServer.Value() });
@@ -105,8 +105,8 @@
   return unknown;
 }
 
-// Derives the outcome from an answer. It is unknown when the answer lacks the
-// server's mark that it is complete and its own.
+// Derives the outcome from an answer. It is unknown when the answer is not
+// signed by the server as complete, belongs to another request or was altered.
 HomeAnswer
 ServerCall::ToHomeAnswer(const HomeRequest& aRequest, HttpAnswer aHttp)
 {
@@ -145,14 +145,14 @@
 HomeAnswer
 ServerCall::RejectionOf(const HttpAnswer& aHttp)
 {
-  auto refusal = RejectReason::kServerBusy;
+  auto rejectReason = RejectReason::kServerBusy;
   if (aHttp.mStatus == kMisdirectedRequest) {
-    refusal = RejectReason::kNoServer;
+    rejectReason = RejectReason::kNoServer;
   } else if (HeaderValue(aHttp.mHeaders, hop::kReason) == kLeavingReason) {
-    refusal = RejectReason::kLeaving;
+    rejectReason = RejectReason::kLeaving;
   }
   return { .mOutcome = Outcome::kNotRun,
-           .mRejectReason = refusal,
+           .mRejectReason = rejectReason,
            .mRetryAfter = kRetryAfter };
 }
 
--- a/packages/home/tests/LocalServerTest.cpp
+++ b/packages/home/tests/LocalServerTest.cpp
@@ -139,9 +139,9 @@
   OneSlotServer server;
   server.mRelease = true;
   server.mServer.SetRetryBudget({ .mShare = 0.5, .mBurst = 1.0 });
-  const auto send = [&](std::uint64_t aNumber, bool aRepeat) {
+  const auto send = [&](std::uint64_t aNumber, bool aIsRetry) {
     auto request = Request(aNumber, true);
-    request.mIsRetry = aRepeat;
+    request.mIsRetry = aIsRetry;
     return server.Begin(request).get();
   };
   CHECK(send(1, true).mOutcome == Outcome::kRun);
