--- a/packages/hop/src/HopCodec.cpp
+++ b/packages/hop/src/HopCodec.cpp
@@ -94,12 +94,12 @@
   kSequence,
   kIncarnation,
   kOutcome,
-  kRefusal,
+  kRejectReason,
   kHomeClockMs,
   kLoadPermille,
   kRetryAfterMs,
   kReason,
-  kP90LatencyMs
+  kLatencyP90Ms
 };
 } // namespace answer_field
 
@@ -217,12 +217,12 @@
   using namespace answer_field;
   const HopFieldReader fields(HeaderValue(aHttp.mHeaders, hop::kAnswerHop));
   const auto outcome = fields.Number(kOutcome);
-  const auto refusal = ParseRejectReason(fields.Text(kRefusal));
+  const auto rejectReason = ParseRejectReason(fields.Text(kRejectReason));
   const auto incarnation = fields.Number(kIncarnation);
   const auto clock = fields.Number(kHomeClockMs);
   if (fields.Number(kSequence) != aAttempt.Sequence() || !outcome ||
-      *outcome > static_cast<std::uint64_t>(Outcome::kUnknown) || !refusal ||
-      !incarnation || !clock) {
+      *outcome > static_cast<std::uint64_t>(Outcome::kUnknown) ||
+      !rejectReason || !incarnation || !clock) {
     return std::nullopt;
   }
   DecodedHomeAnswer decoded{ .mIncarnation = Incarnation(*incarnation),
@@ -230,12 +230,12 @@
                                Millis(static_cast<std::int64_t>(*clock)) };
   auto& answer = decoded.mAnswer;
   answer.mOutcome = static_cast<Outcome>(*outcome);
-  answer.mRejectReason = *refusal;
+  answer.mRejectReason = *rejectReason;
   answer.mLoad =
     static_cast<double>(fields.Number(kLoadPermille).value_or(0)) / kPermille;
   answer.mRetryAfter = Millis(fields.Number(kRetryAfterMs).value_or(0));
   answer.mReason = fields.Text(kReason);
-  answer.mLatencyP90 = Millis(fields.Number(kP90LatencyMs).value_or(0));
+  answer.mLatencyP90 = Millis(fields.Number(kLatencyP90Ms).value_or(0));
   answer.mHttp = std::move(aHttp);
   return decoded;
 }
