--- a/packages/core/include/porttiller/core/RejectReason.h
+++ b/packages/core/include/porttiller/core/RejectReason.h
@@ -21,7 +21,7 @@
   kExpired,     // the deadline had passed
   kRevoked,     // its revocation arrived first
   kDuplicate,   // this attempt was received before
-  kStale,       // too old to tell whether it was received before
+  kStale,       // too old to know whether it was received before
   kUnreachable  // set by the entry: it could not reach the home
 };
 
