--- a/packages/entry/include/porttiller/entry/EntryView.h
+++ b/packages/entry/include/porttiller/entry/EntryView.h
@@ -30,7 +30,7 @@
 struct ChoiceConstraints
 {
   bool mCanFailOver = false; // may be a trial request to a demoted server
-  bool mOpenOnly = false;    // only servers whose standing is kOpen
+  bool mOpenOnly = false;    // only servers whose eligibility is kOpen
 };
 
 struct Choice
@@ -66,7 +66,7 @@
   // A server update sent by the home of the server.
   void OnServerUpdate(const ServerStateUpdate& aUpdate, TimePoint aNow);
 
-  // The network path to a box failed or worked. Not counted against its
+  // The network path to a box failed or succeeded. Not counted against its
   // servers.
   void OnPathFailure(const BoxName& aBox, TimePoint aNow);
   void OnPathSuccess(const BoxName& aBox);
@@ -83,7 +83,7 @@
   // A home's 90th percentile of the latency of a route.
   void OnLatencyP90(const ServiceName& aService,
                     const std::string& aRoute,
-                    Micros aTime);
+                    Micros aLatencyP90);
   // Delay after which a repeatable request of the route is hedged.
   // aTotalTime: from the arrival of the request to its deadline.
   Micros HedgeDelay(const ServiceName& aService,
@@ -104,8 +104,8 @@
     TimePoint mLoadAt;
     Eligibility mEligibility = Eligibility::kOpen;
     TimePoint mEligibilityUntil;
-    // Until mDemotedUntil its home rejects requests that must not fail, until
-    // mNoTrialUntil also trial requests.
+    // Until mDemotedUntil its home rejects requests that cannot fail over,
+    // until mNoTrialUntil also trial requests.
     TimePoint mDemotedUntil;
     TimePoint mNoTrialUntil;
   };
--- a/packages/entry/include/porttiller/entry/RequestContext.h
+++ b/packages/entry/include/porttiller/entry/RequestContext.h
@@ -23,7 +23,7 @@
   Outcome mOutcome = Outcome::kNotRun;
   std::string mReason; // set when the proxy made the answer itself
   std::optional<Millis> mRetryAfter;
-  std::string mToken; // with kUnknown: the home and the attempt to ask about
+  std::string mToken; // with kUnknown: the home and the attempt to query
   bool mCloseConnection = false;
 };
 
--- a/packages/entry/include/porttiller/entry/WorkspaceGate.h
+++ b/packages/entry/include/porttiller/entry/WorkspaceGate.h
@@ -26,8 +26,8 @@
 
   // Called at each tick of the controller; see UseReporter::Next.
   std::optional<UseReport> NextReport(const std::vector<BoxName>& aCollectors);
-  // aQuery: UseReport::mReplyToken. aReplied: false when the reply timed out.
-  void OnReply(std::uint64_t aQuery, bool aReplied);
+  // aReplyToken: of the UseReport. aReplied: false when the reply timed out.
+  void OnReply(std::uint64_t aReplyToken, bool aReplied);
   // Admitted shares from a collector.
   void OnGrants(const WorkspaceGrants& aGrants, bool aWarming);
   // Number of boxes that share each limit.
--- a/packages/entry/src/AttemptRunPriv.cpp
+++ b/packages/entry/src/AttemptRunPriv.cpp
@@ -20,14 +20,14 @@
 constexpr int kMaxAttempts = 12;
 constexpr Millis kDefaultRetryAfter{ 500 };
 constexpr Millis kUnknownRetryAfter{ 1000 };
-// One in this many of the requests that may fail is sent as a trial to a
+// One in this many of the requests that can fail over is sent as a trial to a
 // demoted server whose trial is due. More would cost too many retries, as most
 // trials fail. Fewer find a recovered server too late: such requests are rare
 // with 80 boxes, and at one in four, spread over the open servers too, none of
 // 17 demoted servers recovers within ten seconds.
 constexpr std::uint64_t kTrialOneIn = 2;
 // The entry sets no limit of its own: the homes of a service hold its retry
-// budget and reject repeats beyond it.
+// budget and reject retries beyond it.
 const RetrySource kUnlimitedRetries = [] { return true; };
 
 // "<home box>/<home incarnation>/<attempt id>"
@@ -129,17 +129,18 @@
 AttemptRun::SendNext()
 {
   while (mPlan.MayAttempt()) {
-    const bool mayFail = mPlan.MayFailNext() && Random() % kTrialOneIn == 0;
-    const auto choice = mDependencies.mView.Choose(*mContext.mSnapshot,
-                                                   *mContext.mService,
-                                                   mPlan,
-                                                   { .mCanFailOver = mayFail },
-                                                   Now());
+    const bool canFailOver = mPlan.MayFailNext() && Random() % kTrialOneIn == 0;
+    const auto choice =
+      mDependencies.mView.Choose(*mContext.mSnapshot,
+                                 *mContext.mService,
+                                 mPlan,
+                                 { .mCanFailOver = canFailOver },
+                                 Now());
     if (choice.mServer != nullptr) {
       if (mPlan.Attempts() > 0) {
         mDependencies.mMetrics.Retries().Increment();
       }
-      SendTo(*choice.mServer, mayFail);
+      SendTo(*choice.mServer, canFailOver);
       return true;
     }
     if (!mPlan.AllowLastResort(choice.mDemotedLeft)) {
@@ -189,8 +190,8 @@
                                         mContext.mDeadline - mContext.mArrival);
 }
 
-// Sends a hedged attempt to an open server, if there is one and the plan allows
-// it: the running attempt takes unusually long.
+// Called when the running attempt takes unusually long: sends a hedged attempt
+// to an open server, if there is one and the plan allows it.
 void
 AttemptRun::Hedge()
 {
--- a/packages/entry/src/Dispatcher.cpp
+++ b/packages/entry/src/Dispatcher.cpp
@@ -126,9 +126,9 @@
     aRequest.mHomeIncarnation = mHome.OwnIncarnation();
     return SendLocal(aRequest);
   }
-  // The home may hold a lingering request past the caller's deadline, but the
-  // entry must answer by then. A local call would block, so such a request
-  // takes the remote path even to the home of this box.
+  // The home may hold such a request past the caller's deadline, but the entry
+  // must answer by then. A local call would block, so the remote path is used
+  // even to the home of this box.
   aRequest.mHomeIncarnation = mView.HomeStateOf(aBox.mName).mIncarnation;
   return SendRemote(aBox, aRequest);
 }
@@ -167,7 +167,9 @@
   return mShutdownDeadline.WaitInIntervals(
     aUntil,
     [&] { return IsCancelled(aRequest); },
-    [&](TimePoint aSliceEnd) { return aExchange.WaitReadable(aSliceEnd); });
+    [&](TimePoint aIntervalEnd) {
+      return aExchange.WaitReadable(aIntervalEnd);
+    });
 }
 
 AttemptResult
@@ -187,7 +189,8 @@
   }
   // A live home that runs the attempt is the better judge of when to time out.
   // In a planned stop, an attempt that may be running is not abandoned: the
-  // caller is owed its result, and there is little time for another attempt.
+  // caller still needs its result, and there is little time for another
+  // attempt.
   const bool keepWaiting =
     mShutdownDeadline.IsSet() ||
     (mSettings.mFailingServers == FailingServers::kBreak &&
@@ -292,14 +295,14 @@
 AttemptStatus
 Dispatcher::SendQuery(const BoxSpec& aBox, wire::Envelope aQuery)
 {
-  const auto key = aQuery.attempt().request_key();
+  const auto requestKey = aQuery.attempt().request_key();
   const auto reply = mTransport.Call(
     aBox.mControlAddress, std::move(aQuery), mSettings.mTiming.mRevokeTimeout);
   if (!reply || !reply->has_attempt_reply()) {
     mView.OnPathFailure(aBox.mName, Now());
     return {};
   }
-  return ToAttemptStatus(reply->attempt_reply(), key);
+  return ToAttemptStatus(reply->attempt_reply(), requestKey);
 }
 
 } // namespace porttiller
--- a/packages/entry/src/EntryView.cpp
+++ b/packages/entry/src/EntryView.cpp
@@ -17,17 +17,18 @@
 constexpr int kMaxAvoidDoublings = 5;
 // Weight of the latest answer in the moving average of a service's error rate.
 constexpr double kErrorRateSmoothing = 0.1;
-// A hedged attempt costs a round trip and does not pay for faster answers.
+// A hedged attempt costs a round trip; for routes that answer within this time
+// it gains nothing.
 constexpr Micros kMinHedgeDelay{ 50'000 };
 // Divides the total time of a request while no home has reported the latency of
 // its route: callers' deadlines are several times the usual latency.
 constexpr int kHedgeUnknownPart = 4;
-// The target of 4,900 routes, spread over the shards, with room for replaced
-// routes, which are never removed.
+// For 4,900 routes, spread over the shards, with room for replaced routes,
+// which are never removed.
 constexpr std::size_t kMaxRoutesInShard = 1000;
 
-// The standing of a server after a rejection; null when the rejection says
-// nothing about the next request.
+// The eligibility of a server after a rejection; null when the rejection does
+// not affect the next request.
 std::optional<Eligibility>
 EligibilityAfter(RejectReason aRejectReason)
 {
@@ -321,8 +322,8 @@
                       bool aCanFailOver,
                       TimePoint aNow)
 {
-  const auto standing = EligibilityAfter(aRejectReason);
-  if (!standing && aRejectReason != RejectReason::kDemoted) {
+  const auto eligibility = EligibilityAfter(aRejectReason);
+  if (!eligibility && aRejectReason != RejectReason::kDemoted) {
     return;
   }
   auto& shard = ShardOf(aServer.mService);
@@ -332,14 +333,14 @@
     return;
   }
   const auto until = aNow + std::clamp(aRetryAfter, kMinAvoid, kMaxAvoid);
-  if (!standing) {
+  if (!eligibility) {
     view->mDemotedUntil = until;
     if (aCanFailOver) {
       view->mNoTrialUntil = until; // its home has enough trial requests
     }
     return;
   }
-  view->mEligibility = *standing;
+  view->mEligibility = *eligibility;
   view->mEligibilityUntil = until;
 }
 
@@ -439,14 +440,14 @@
 void
 EntryView::OnLatencyP90(const ServiceName& aService,
                         const std::string& aRoute,
-                        Micros aTime)
+                        Micros aLatencyP90)
 {
   auto& shard = ShardOf(aService);
   const std::lock_guard lock(shard.mMutex);
   const bool known = shard.mLatencyP90s.contains(aRoute);
-  if (aTime > Micros(0) &&
+  if (aLatencyP90 > Micros(0) &&
       (known || shard.mLatencyP90s.size() < kMaxRoutesInShard)) {
-    shard.mLatencyP90s[aRoute] = aTime;
+    shard.mLatencyP90s[aRoute] = aLatencyP90;
   }
 }
 
--- a/packages/entry/src/WorkspaceFilters.cpp
+++ b/packages/entry/src/WorkspaceFilters.cpp
@@ -48,17 +48,17 @@
 WorkspaceFilter::Apply(RequestContext& aContext) const
 {
   auto& headers = aContext.mHttp.mHeaders;
-  const auto key = TakeSingleHeader(headers, aContext.mNames.mKey);
+  const auto apiKey = TakeSingleHeader(headers, aContext.mNames.mKey);
   RemoveHeader(headers, aContext.mNames.mWorkspace);
   aContext.mPriority = aContext.mRoute->mPriority;
   const auto& workspaces = *aContext.mSnapshot->mWorkspaces;
   if (workspaces.Empty() || aContext.mRoute->mPublic) {
     return std::nullopt;
   }
-  if (!key) {
+  if (!apiKey) {
     return Unauthorized("no-key");
   }
-  aContext.mWorkspace = workspaces.FindByKey(*key);
+  aContext.mWorkspace = workspaces.FindByKey(*apiKey);
   if (!aContext.mWorkspace) {
     return Unauthorized("unknown-key");
   }
--- a/packages/entry/src/WorkspaceGate.cpp
+++ b/packages/entry/src/WorkspaceGate.cpp
@@ -33,10 +33,10 @@
 }
 
 void
-WorkspaceGate::OnReply(std::uint64_t aQuery, bool aReplied)
+WorkspaceGate::OnReply(std::uint64_t aReplyToken, bool aReplied)
 {
   const std::lock_guard lock(mMutex);
-  mReporter.OnReply(aQuery, aReplied, Now());
+  mReporter.OnReply(aReplyToken, aReplied, Now());
 }
 
 void
--- a/packages/entry/tests/EntryViewTest.cpp
+++ b/packages/entry/tests/EntryViewTest.cpp
@@ -117,7 +117,7 @@
   CHECK(CountFirst(view, snapshot, kStart + Millis(5000)) > kDraws / 3);
 }
 
-TEST_CASE("Requests that may fail are trials of a demoted server once due")
+TEST_CASE("Requests that can fail over are trials of a demoted server once due")
 {
   const auto snapshot = MakeSnapshot();
   EntryView view(BoxName("entry"), AvailabilityZone("entry"), {});
--- a/packages/entry/tests/WorkspaceFiltersTest.cpp
+++ b/packages/entry/tests/WorkspaceFiltersTest.cpp
@@ -89,7 +89,7 @@
   CHECK(answer->mBody.find("four") == std::string::npos);
 }
 
-TEST_CASE("Public routes and configurations without workspaces need no key")
+TEST_CASE("Public routes and configurations without workspaces need no API key")
 {
   Fixture fixture;
   fixture.mRoute.mPublic = true;
