--- a/packages/control/include/porttiller/control/ConfigController.h
+++ b/packages/control/include/porttiller/control/ConfigController.h
@@ -99,7 +99,7 @@
   std::optional<WatchPlace> Place() const;
   void Run();
   void WaitForPeers();
-  bool HeardFromPeers() const;
+  bool HasRecentPeerRevision() const;
   void ReadPlatform();
   void ApplyStoreDelta(const ObjectDelta& aDelta);
   void NotifyListeners(const SnapshotPtr& aSnapshot);
@@ -110,7 +110,7 @@
                       const wire::Envelope& aAnswer);
   // Requests deltas from peers that are known to be ahead.
   void RequestDeltas();
-  void Announce(std::uint64_t aRevision, const GossipFanout& aSpread);
+  void Announce(std::uint64_t aRevision, const GossipFanout& aFanout);
   void SetPlatformReachable(bool aReachable, const std::string& aDetail);
   void LogRejected(const ObjectDelta& aDelta,
                    ApplyError aError,
--- a/packages/control/include/porttiller/control/DirectoryController.h
+++ b/packages/control/include/porttiller/control/DirectoryController.h
@@ -62,7 +62,7 @@
 
   void Start();
   void Stop();
-  // Sends peers a record that says that this box is leaving.
+  // Sends peers a record that marks this box as leaving.
   void Leave();
 
   // Handles a message of this box's server. Returns once the message may be
@@ -98,7 +98,7 @@
   void ScheduleBatch();
   void PublishBatch();
   void Push(const std::vector<BoxRecord>& aRecords,
-            const GossipFanout& aSpread);
+            const GossipFanout& aFanout);
   void Request(const std::string& aAddress);
   bool StoreAtPeers(const BoxRecord& aRecord);
   bool StoreDurably(const BoxRecord& aRecord);
--- a/packages/control/include/porttiller/control/EjectionController.h
+++ b/packages/control/include/porttiller/control/EjectionController.h
@@ -1,6 +1,6 @@
-// Drives the ejection machines of this box's servers: queries other homes,
-// takes and releases ejection permissions, and returns servers to use when
-// ejections break the floor.
+// Drives the ejection state machines of this box's servers: queries other
+// homes, takes and releases ejection permissions, and returns servers to use
+// when ejections break the floor.
 #pragma once
 
 #include "porttiller/config/Settings.h"
--- a/packages/control/include/porttiller/control/LimitController.h
+++ b/packages/control/include/porttiller/control/LimitController.h
@@ -37,8 +37,8 @@
   void Stop();
   void Apply(const SnapshotPtr& aSnapshot);
 
-  // From an entry or a collector. The reply is sent only if the message asks
-  // for one.
+  // From an entry or a collector. The reply is sent only if the message
+  // requests one.
   wire::Envelope OnReport(const wire::Envelope& aMessage);
   // Unsolicited grants from a collector.
   void OnGrants(const wire::WorkspaceGrants& aMessage);
--- a/packages/control/include/porttiller/control/MembershipController.h
+++ b/packages/control/include/porttiller/control/MembershipController.h
@@ -60,9 +60,9 @@
   std::vector<BoxName> LiveBoxes() const;
   // Up to aCount random live boxes other than this one, with their addresses.
   std::vector<BoxSpec> RandomPeers(std::size_t aCount) const;
-  // Random live boxes other than this one, as many of each zone as aOptions
-  // says.
-  std::vector<BoxSpec> SpreadPeers(const GossipFanout& aOptions) const;
+  // Random live boxes other than this one, as many of each zone as aFanout
+  // specifies.
+  std::vector<BoxSpec> SpreadPeers(const GossipFanout& aFanout) const;
   std::string Dump() const;
 
 private:
--- a/packages/control/include/porttiller/control/ServerUpdateController.h
+++ b/packages/control/include/porttiller/control/ServerUpdateController.h
@@ -32,7 +32,7 @@
 
 private:
   void Tick();
-  void Notify(const ServerStateUpdate& aNews);
+  void Notify(const ServerStateUpdate& aUpdate);
 
   const Settings& mSettings;
   Home& mHome;
--- a/packages/control/src/ConfigController.cpp
+++ b/packages/control/src/ConfigController.cpp
@@ -38,8 +38,8 @@
 // A box that read a change from the platform or a seed announces it in its
 // zone, and to one box of each other zone in case the watchers there cannot
 // read the platform. A box that got it from a peer announces it in its zone.
-constexpr GossipFanout kSourceSpread{ .mOwnZone = 4, .mPerOtherZone = 1 };
-constexpr GossipFanout kForwardSpread{ .mOwnZone = 4 };
+constexpr GossipFanout kSourceFanout{ .mOwnZone = 4, .mPerOtherZone = 1 };
+constexpr GossipFanout kForwardFanout{ .mOwnZone = 4 };
 constexpr Millis::rep kNoReplyYetMs = -1; // in log lines
 
 Millis
@@ -143,8 +143,8 @@
   if (!changed->empty()) {
     LogInForce(*snapshot, changed->size(), aSource);
     Announce(snapshot->mRevision,
-             std::string_view(aSource.mKind) == "peer" ? kForwardSpread
-                                                       : kSourceSpread);
+             std::string_view(aSource.mKind) == "peer" ? kForwardFanout
+                                                       : kSourceFanout);
   }
   return {};
 }
@@ -295,7 +295,7 @@
     nextFallback = Now() + kFirstStartFallbackWait;
   }
   while (!mStop) {
-    if (IsWatcher() || (Now() >= nextFallback && !HeardFromPeers())) {
+    if (IsWatcher() || (Now() >= nextFallback && !HasRecentPeerRevision())) {
       ReadPlatform();
       nextFallback = Now() + Jittered(kFallbackWait);
     } else {
@@ -305,7 +305,7 @@
 }
 
 bool
-ConfigController::HeardFromPeers() const
+ConfigController::HasRecentPeerRevision() const
 {
   return Own().mRevision != 0 &&
          Now() < mLastPeerRevisionAt.load() + kPeerRevisionMaxAge;
@@ -328,7 +328,7 @@
         .ListConfiguration(); // the platform no longer has such old changes
   }
   if (mStop) {
-    return; // the call was aborted, which says nothing about the platform
+    return; // the call was aborted; the platform may be reachable
   }
   SetPlatformReachable(delta.has_value(), delta ? "" : delta.error().mDetail);
   if (!delta) {
@@ -463,13 +463,14 @@
 }
 
 void
-ConfigController::Announce(std::uint64_t aRevision, const GossipFanout& aSpread)
+ConfigController::Announce(std::uint64_t aRevision, const GossipFanout& aFanout)
 {
   wire::Envelope request;
   request.mutable_announce()->set_revision(aRevision);
   // Sent as a request, so that the transport sends it again if it was lost on
-  // an unresponsive link. The next probes make up for any other loss.
-  for (const auto& peer : mPeers.mSpreadPeers(aSpread)) {
+  // an unresponsive link. After any other loss the peer learns the revision
+  // from the next probes.
+  for (const auto& peer : mPeers.mSpreadPeers(aFanout)) {
     mTransport.Send(peer.mControlAddress,
                     request,
                     kAnnounceTimeout,
--- a/packages/control/src/DirectoryController.cpp
+++ b/packages/control/src/DirectoryController.cpp
@@ -15,8 +15,8 @@
 // A box sends its own record to a few boxes of each zone, which forward it
 // within their zone: at 30 boxes 4 copies cross zones, against 80 with random
 // receivers.
-constexpr GossipFanout kOwnRecordSpread{ .mOwnZone = 3, .mPerOtherZone = 2 };
-constexpr GossipFanout kForwardSpread{ .mOwnZone = 3 };
+constexpr GossipFanout kOwnRecordFanout{ .mOwnZone = 3, .mPerOtherZone = 2 };
+constexpr GossipFanout kForwardFanout{ .mOwnZone = 3 };
 constexpr Millis kRetryWait{ 700 };
 // The wait doubles up to this limit, to reduce the load on a failing store.
 constexpr Millis kMaxRetryWait{ 2000 };
@@ -87,7 +87,7 @@
     const std::lock_guard lock(mMutex);
     mDirectory.Merge(mOwn);
   }
-  // Messages that arrived before now were not published.
+  // Messages that arrived before Start were not published.
   Publish();
   mThread = std::thread([this] { Run(); });
 }
@@ -203,7 +203,7 @@
     const std::lock_guard lock(mMutex);
     own = mOwn;
   }
-  Push({ own }, kOwnRecordSpread);
+  Push({ own }, kOwnRecordFanout);
   return true;
 }
 
@@ -377,7 +377,7 @@
   }
   Publish();
   if (!toForward.empty()) {
-    Push(toForward, kForwardSpread);
+    Push(toForward, kForwardFanout);
   }
   const std::lock_guard lock(mMutex);
   mBatcher.OnBatchDone(Now());
@@ -423,7 +423,7 @@
     mHooks.mOnServerLeaving(record.mServer->mIncarnation);
   }
   ScheduleBatch();
-  Push({ record }, kOwnRecordSpread);
+  Push({ record }, kOwnRecordFanout);
   if (verdict == RegistrarVerdict::kLeaving && !StoreDurably(record)) {
     return tl::make_unexpected(RegistrationError::kNotStored);
   }
@@ -465,7 +465,7 @@
     mDirectory.Merge(mOwn);
     record = mOwn;
   }
-  Push({ record }, kOwnRecordSpread);
+  Push({ record }, kOwnRecordFanout);
 }
 
 } // namespace porttiller
--- a/packages/control/src/DirectoryPeers.cpp
+++ b/packages/control/src/DirectoryPeers.cpp
@@ -19,12 +19,12 @@
 
 void
 DirectoryController::Push(const std::vector<BoxRecord>& aRecords,
-                          const GossipFanout& aSpread)
+                          const GossipFanout& aFanout)
 {
   wire::Envelope message;
   *message.mutable_box_records() = EncodeRecords(aRecords);
   // The digests on probes reveal records that are lost.
-  for (const auto& peer : mHooks.mSpreadPeers(aSpread)) {
+  for (const auto& peer : mHooks.mSpreadPeers(aFanout)) {
     mTransport.SendOneWay(peer.mControlAddress, message);
   }
 }
--- a/packages/control/src/EjectionController.cpp
+++ b/packages/control/src/EjectionController.cpp
@@ -299,7 +299,7 @@
 }
 
 // Removes stale entries of this box once for each service, and again when one
-// of its servers here was replaced or removed: a new server does not inherit
+// of this box's servers was replaced or removed: a new server does not inherit
 // the permission of the old one.
 void
 EjectionController::CleanLedgers()
--- a/packages/control/src/LimitController.cpp
+++ b/packages/control/src/LimitController.cpp
@@ -206,12 +206,12 @@
     aCollector.mControlAddress,
     std::move(message),
     kReplyTimeout,
-    [this, question = aReport.mReplyToken](const PeerResult& aResult) {
+    [this, replyToken = aReport.mReplyToken](const PeerResult& aResult) {
       const bool replied = aResult && aResult->has_workspace_grants();
       if (replied) {
         OnGrants(aResult->workspace_grants());
       }
-      mGate.OnReply(question, replied);
+      mGate.OnReply(replyToken, replied);
     });
 }
 
--- a/packages/control/src/MembershipController.cpp
+++ b/packages/control/src/MembershipController.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::size_t kLeaveNotices = 5; // boxes notified directly
-// Updates that change where requests go cross the fleet in a few hops: they are
-// sent to each zone, and a box to which one is new sends it on.
-constexpr GossipFanout kUrgentSpread{ .mOwnZone = 3, .mPerOtherZone = 1 };
+// Updates that affect routing reach the whole fleet in a few hops: they are
+// sent to each zone, and a box to which one is new forwards it.
+constexpr GossipFanout kUrgentFanout{ .mOwnZone = 3, .mPerOtherZone = 1 };
 // Updates in one message: those of 120 boxes that are cut off at once then fit
 // into a few messages of 2 KB.
 constexpr std::size_t kMaxUrgentUpdates = 32;
@@ -130,7 +130,7 @@
     mNextUrgentSend = Now() + kMinUrgentInterval;
   }
   const auto message = MakeProbe(updates);
-  for (const auto& peer : SpreadPeers(kUrgentSpread)) {
+  for (const auto& peer : SpreadPeers(kUrgentFanout)) {
     mTransport.SendOneWay(peer.mControlAddress, message);
   }
   for (const auto& update : updates) {
@@ -398,7 +398,7 @@
 }
 
 std::vector<BoxSpec>
-MembershipController::SpreadPeers(const GossipFanout& aOptions) const
+MembershipController::SpreadPeers(const GossipFanout& aFanout) const
 {
   std::vector<BoxSpec> peers;
   const auto snapshot = CurrentSnapshot();
@@ -412,7 +412,7 @@
     zones.push_back(peer->mZone);
   }
   for (const auto index :
-       ChooseReceivers(zones, mSettings.mZone, aOptions, Random())) {
+       ChooseReceivers(zones, mSettings.mZone, aFanout, Random())) {
     peers.push_back(*live[index]);
   }
   return peers;
--- a/packages/control/src/ServerUpdateController.cpp
+++ b/packages/control/src/ServerUpdateController.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Maximum delay until an unresponsive server is noticed; a check sums up at
+// Maximum delay until an unresponsive server is detected; a check sums up at
 // most 16 requests.
 constexpr Millis kTick{ 100 };
 
@@ -42,14 +42,14 @@
 ServerUpdateController::Tick()
 {
   for (const auto& server : mHome.Servers()) {
-    if (const auto news = server->TakeStateUpdate(Now())) {
-      Notify(*news);
+    if (const auto update = server->TakeStateUpdate(Now())) {
+      Notify(*update);
     }
   }
 }
 
 void
-ServerUpdateController::Notify(const ServerStateUpdate& aNews)
+ServerUpdateController::Notify(const ServerStateUpdate& aUpdate)
 {
   const auto snapshot = mSnapshot();
   if (!snapshot) {
@@ -57,21 +57,21 @@
   }
   wire::Envelope message;
   auto* body = message.mutable_server_news();
-  body->set_server(aNews.mServer.Id().Value());
-  if (aNews.mServer.StartMs()) {
-    body->set_start_ms(*aNews.mServer.StartMs());
+  body->set_server(aUpdate.mServer.Id().Value());
+  if (aUpdate.mServer.StartMs()) {
+    body->set_start_ms(*aUpdate.mServer.StartMs());
   }
-  body->set_service(aNews.mService.Value());
-  body->set_demoted(aNews.mDemoted);
+  body->set_service(aUpdate.mService.Value());
+  body->set_demoted(aUpdate.mDemoted);
   body->set_retry_after_ms(
-    static_cast<std::uint32_t>(aNews.mRetryAfter.count()));
-  for (const auto& receiver : aNews.mReceivers) {
+    static_cast<std::uint32_t>(aUpdate.mRetryAfter.count()));
+  for (const auto& receiver : aUpdate.mReceivers) {
     const auto* box = snapshot->FindBox(receiver);
     if (box == nullptr) {
       continue;
     }
     if (receiver == mSettings.mBox) {
-      mView.OnServerUpdate(aNews, Now());
+      mView.OnServerUpdate(aUpdate, Now());
       continue;
     }
     // A box that misses the message learns the state when it next sends a
@@ -79,9 +79,9 @@
     mTransport.SendOneWay(box->mControlAddress, message);
   }
   LogLine(LogLevel::kInfo, "server_news")
-    .With("server", aNews.mServer.ToString())
-    .With("state", aNews.mDemoted ? "demoted" : "open")
-    .With("told", static_cast<std::int64_t>(aNews.mReceivers.size()));
+    .With("server", aUpdate.mServer.ToString())
+    .With("state", aUpdate.mDemoted ? "demoted" : "open")
+    .With("told", static_cast<std::int64_t>(aUpdate.mReceivers.size()));
 }
 
 void
--- a/packages/control/src/StoreClient.cpp
+++ b/packages/control/src/StoreClient.cpp
@@ -10,7 +10,7 @@
 // An unresponsive connection is replaced after this fraction of the time
 // within which a change must be in force; see kWatchStepDivisor in
 // ConfigController.cpp.
-constexpr int kPatienceDivisor = 4;
+constexpr int kReusedReadTimeoutDivisor = 4;
 
 } // namespace
 
@@ -28,7 +28,7 @@
   return { .mAddress = aSettings.mPlatformAddress,
            .mTimeout = aTimeout,
            .mReusedReadTimeout =
-             aSettings.mTiming.mApplyLimit / kPatienceDivisor,
+             aSettings.mTiming.mApplyLimit / kReusedReadTimeoutDivisor,
            .mDialect = StoreDialectOf(aSettings),
            .mOnReusedReadFailed = log };
 }
--- a/packages/control/tests/ConfigControllerTest.cpp
+++ b/packages/control/tests/ConfigControllerTest.cpp
@@ -95,8 +95,9 @@
 
 TEST_CASE("An unresponsive peer does not delay delta requests to other peers")
 {
-  // If only one request may be open, an unreachable peer holds it until it
-  // times out, and a box learns of a change too late: after 3.4 s in a fleet.
+  // If only one request may be pending, one to an unreachable peer blocks the
+  // others until it times out, and a box learns of a change too late: after
+  // 3.4 s in a fleet.
   const auto unresponsive = MakePeer(kUnresponsiveAddress, "silent", false);
   const auto answering = MakePeer(kAnsweringAddress, "answering", true);
   OwnBox own;
@@ -145,9 +146,9 @@
   auto& controller = own.mController;
   controller.OnPeerRevision({ .mAddress = kAnsweringAddress, .mRevision = 5 });
   REQUIRE(WaitRevision(controller, 5));
-  std::atomic<std::uint64_t> heard{ 0 };
+  std::atomic<std::uint64_t> reported{ 0 };
   controller.AddListener(
-    [&](const SnapshotPtr& aSnapshot) { heard = aSnapshot->mRevision; });
+    [&](const SnapshotPtr& aSnapshot) { reported = aSnapshot->mRevision; });
   controller.Start();
-  CHECK(heard == 5);
+  CHECK(reported == 5);
 }
