--- a/packages/node/src/Node.cpp
+++ b/packages/node/src/Node.cpp
@@ -31,13 +31,13 @@
 void
 LogUnanswered(const UnansweredRequest& aRequest)
 {
-  constexpr Millis::rep kNeverHeard = -1;
+  constexpr Millis::rep kNeverReceived = -1;
   LogLine(LogLevel::kInfo, "control_unanswered")
     .With("to", aRequest.mAddress)
     .With("kind", ToText(aRequest.mKind))
     .With("waited_ms", aRequest.mWaited.count())
     .With("link_heard_ms",
-          aRequest.mLinkHeard ? aRequest.mLinkHeard->count() : kNeverHeard);
+          aRequest.mLinkHeard ? aRequest.mLinkHeard->count() : kNeverReceived);
 }
 
 void
@@ -123,8 +123,8 @@
     mMetrics,
     ConfigPeers{ .mLiveBoxes = [this] { return mMembership->LiveBoxes(); },
                  .mSpreadPeers =
-                   [this](const GossipFanout& aOptions) {
-                     return mMembership->SpreadPeers(aOptions);
+                   [this](const GossipFanout& aFanout) {
+                     return mMembership->SpreadPeers(aFanout);
                    } },
     [this](const auto& aObjects) { mUnreadable.Note(aObjects); });
   mMembership = std::make_unique<MembershipController>(
@@ -227,8 +227,8 @@
 {
   const auto snapshot = mConfig->Current();
   const bool configured = snapshot && snapshot->mRevision != 0;
-  const bool placed = !mDirectory || mDirectory->Usable();
-  return configured && placed && !mDraining;
+  const bool directoryUsable = !mDirectory || mDirectory->Usable();
+  return configured && directoryUsable && !mDraining;
 }
 
 PeerRevision
@@ -278,8 +278,8 @@
                return mMembership->RandomPeers(aCount);
              },
            .mSpreadPeers =
-             [this](const GossipFanout& aOptions) {
-               return mMembership->SpreadPeers(aOptions);
+             [this](const GossipFanout& aFanout) {
+               return mMembership->SpreadPeers(aFanout);
              },
            .mOnUnreadable =
              [this](const auto& aObjects) { mUnreadable.Note(aObjects); },
