--- a/apps/porttillerctl/Output.cpp
+++ b/apps/porttillerctl/Output.cpp
@@ -129,7 +129,7 @@
       return ExitCode::kNotFound;
     case StoreErrorKind::kConflict:
       return ExitCode::kConflict;
-    case StoreErrorKind::kRefused:
+    case StoreErrorKind::kRejected:
       return ExitCode::kInvalid;
     case StoreErrorKind::kBadAnswer:
       break;
--- a/packages/config/include/porttiller/config/Settings.h
+++ b/packages/config/include/porttiller/config/Settings.h
@@ -107,7 +107,7 @@
   Millis mProbeInterval{ 1000 };
   Millis mProbeTimeout{ 300 };
   // Time until the home is asked for the state of an attempt.
-  Millis mAttemptPatience{ 1000 };
+  Millis mAttemptCheckDelay{ 1000 };
   Millis mRevokeTimeout{ 200 };
 };
 
--- a/packages/config/src/Settings.cpp
+++ b/packages/config/src/Settings.cpp
@@ -164,8 +164,8 @@
     aReader, "probe_interval_ms", kIntervalMs, settings.mProbeInterval);
   settings.mProbeTimeout = ReadMillis(
     aReader, "probe_timeout_ms", kIntervalMs, settings.mProbeTimeout);
-  settings.mAttemptPatience = ReadMillis(
-    aReader, "attempt_patience_ms", kIntervalMs, settings.mAttemptPatience);
+  settings.mAttemptCheckDelay = ReadMillis(
+    aReader, "attempt_patience_ms", kIntervalMs, settings.mAttemptCheckDelay);
   settings.mRevokeTimeout = ReadMillis(
     aReader, "revoke_timeout_ms", kIntervalMs, settings.mRevokeTimeout);
   aReader.RejectUnknownKeys();
@@ -343,7 +343,7 @@
   timing.set("apply_ms", times.mApplyLimit.count());
   timing.set("probe_interval_ms", times.mProbeInterval.count());
   timing.set("probe_timeout_ms", times.mProbeTimeout.count());
-  timing.set("attempt_patience_ms", times.mAttemptPatience.count());
+  timing.set("attempt_patience_ms", times.mAttemptCheckDelay.count());
   timing.set("revoke_timeout_ms", times.mRevokeTimeout.count());
   Poco::JSON::Object document;
   document.set("box", aSettings.mBox.Value());
--- a/packages/control/include/porttiller/control/ConfigController.h
+++ b/packages/control/include/porttiller/control/ConfigController.h
@@ -96,7 +96,7 @@
 
 private:
   // This box's place among the watchers of its zone; null if it is none.
-  std::optional<WatchPlace> Place() const;
+  std::optional<WatchPosition> Place() const;
   void Run();
   void WaitForPeers();
   bool HasRecentPeerRevision() const;
--- a/packages/control/src/ConfigController.cpp
+++ b/packages/control/src/ConfigController.cpp
@@ -171,7 +171,7 @@
                               ApplyError aError,
                               const ConfigSource& aSource)
 {
-  mMetrics.CountRefusedDelta(aError);
+  mMetrics.CountRejectedDelta(aError);
   if (aError == ApplyError::kStale) {
     return;
   }
@@ -237,12 +237,12 @@
   return place && place->mRank == 0;
 }
 
-std::optional<WatchPlace>
+std::optional<WatchPosition>
 ConfigController::Place() const
 {
   const auto snapshot = Current();
   if (!snapshot || snapshot->FindBox(mSettings.mBox) == nullptr) {
-    return WatchPlace{}; // this box watches until it knows the fleet
+    return WatchPosition{}; // this box watches until it knows the fleet
   }
   std::vector<BoxName> zoneBoxes;
   for (const auto& box : mPeers.mLiveBoxes()) {
@@ -257,8 +257,8 @@
   if (own == owners.end()) {
     return std::nullopt;
   }
-  return WatchPlace{ .mRank = static_cast<std::size_t>(own - owners.begin()),
-                     .mCount = owners.size() };
+  return WatchPosition{ .mRank = static_cast<std::size_t>(own - owners.begin()),
+                        .mCount = owners.size() };
 }
 
 // At the first start of the whole system every box would query the platform
@@ -391,7 +391,7 @@
   if (aPeer.mRevision > own.mRevision) {
     {
       const std::lock_guard lock(mMutex);
-      mCatchUp.OnHeard(aPeer.mAddress, aPeer.mRevision);
+      mCatchUp.OnAnnounced(aPeer.mAddress, aPeer.mRevision);
     }
     RequestDeltas();
   }
--- a/packages/control/src/EjectionController.cpp
+++ b/packages/control/src/EjectionController.cpp
@@ -247,7 +247,7 @@
     LogLine(LogLevel::kWarning, "server_ejected")
       .With("server", spec.mName.Value());
   } else if (answer == PermissionAnswer::kFloor) {
-    mMetrics.FloorRefusals().Increment();
+    mMetrics.FloorRejections().Increment();
     LogLine(LogLevel::kWarning, "ejection_refused_by_floor")
       .With("server", spec.mName.Value());
   }
--- a/packages/entry/src/AttemptRunPriv.cpp
+++ b/packages/entry/src/AttemptRunPriv.cpp
@@ -129,7 +129,8 @@
 AttemptRun::SendNext()
 {
   while (mPlan.MayAttempt()) {
-    const bool canFailOver = mPlan.MayFailNext() && Random() % kTrialOneIn == 0;
+    const bool canFailOver =
+      mPlan.MayFailOverNext() && Random() % kTrialOneIn == 0;
     const auto choice =
       mDependencies.mView.Choose(*mContext.mSnapshot,
                                  *mContext.mService,
@@ -314,7 +315,7 @@
 void
 AttemptRun::operator()(const AttemptNotRun& aNotRun)
 {
-  mDependencies.mMetrics.CountRefusal(aNotRun.mRejectReason);
+  mDependencies.mMetrics.CountRejection(aNotRun.mRejectReason);
   mDependencies.mView.OnRejected(*mEnded.mServer,
                                  aNotRun.mRejectReason,
                                  aNotRun.mRetryAfter,
--- a/packages/entry/src/Dispatcher.cpp
+++ b/packages/entry/src/Dispatcher.cpp
@@ -177,7 +177,7 @@
                         const HomeRequest& aRequest,
                         HttpExchange& aExchange)
 {
-  const auto checkAt = Now() + mSettings.mTiming.mAttemptPatience;
+  const auto checkAt = Now() + mSettings.mTiming.mAttemptCheckDelay;
   const bool early =
     WaitReadable(aRequest, aExchange, std::min(checkAt, aRequest.mDeadline));
   if (IsCancelled(aRequest)) {
--- a/packages/entry/src/EntryServer.cpp
+++ b/packages/entry/src/EntryServer.cpp
@@ -76,7 +76,7 @@
                         .mMaxBodyBytes =
                           static_cast<std::size_t>(callers.mMaxBodyBytes) },
            .mIdleClose = kCallerKeepAlive,
-           .mRefuse =
+           .mMakeRejection =
              [this](ListenerRejection aRejectReason) {
                LogLine(LogLevel::kInfo, "request_unreadable")
                  .With("reason", ToText(aRejectReason));
--- a/packages/http/include/porttiller/http/HttpListener.h
+++ b/packages/http/include/porttiller/http/HttpListener.h
@@ -70,7 +70,7 @@
   // run concurrently.
   int mPipelined = 8;
   // Makes the answer for a rejection; plain text if not set.
-  std::function<HttpReply(ListenerRejection)> mRefuse;
+  std::function<HttpReply(ListenerRejection)> mMakeRejection;
   // Called with the text of an exception that a handler threw, which is a bug.
   std::function<void(const std::string&)> mOnException;
 };
--- a/packages/http/src/ListenerRejection.cpp
+++ b/packages/http/src/ListenerRejection.cpp
@@ -45,8 +45,8 @@
 HttpReply
 MakeRejection(const HttpListenerOptions& aOptions, ListenerRejection aRejection)
 {
-  if (aOptions.mRefuse) {
-    return aOptions.mRefuse(aRejection);
+  if (aOptions.mMakeRejection) {
+    return aOptions.mMakeRejection(aRejection);
   }
   return { .mAnswer = { .mStatus = StatusOf(aRejection),
                         .mBody = std::string(ToText(aRejection)) + "\n" } };
--- a/packages/http/src/ListenerRejectionPriv.h
+++ b/packages/http/src/ListenerRejectionPriv.h
@@ -5,7 +5,7 @@
 
 namespace porttiller {
 
-// Made by mRefuse of aOptions, or plain text if that is not set.
+// Made by mMakeRejection of aOptions, or plain text if that is not set.
 HttpReply
 MakeRejection(const HttpListenerOptions& aOptions,
               ListenerRejection aRejection);
--- a/packages/node/src/Node.cpp
+++ b/packages/node/src/Node.cpp
@@ -37,7 +37,8 @@
     .With("kind", ToText(aRequest.mKind))
     .With("waited_ms", aRequest.mWaited.count())
     .With("link_heard_ms",
-          aRequest.mLinkHeard ? aRequest.mLinkHeard->count() : kNeverReceived);
+          aRequest.mSinceLinkReply ? aRequest.mSinceLinkReply->count()
+                                   : kNeverReceived);
 }
 
 void
--- a/packages/peer/include/porttiller/peer/PeerTransport.h
+++ b/packages/peer/include/porttiller/peer/PeerTransport.h
@@ -46,7 +46,7 @@
   Millis mWaited{ 0 }; // since it was last sent
   // Time since the last reply over the request's link; null if that link has
   // carried none.
-  std::optional<Millis> mLinkHeard;
+  std::optional<Millis> mSinceLinkReply;
 };
 
 // A link that delivered no replies and was replaced by a new connection.
--- a/packages/policy/include/porttiller/policy/AttemptPlan.h
+++ b/packages/policy/include/porttiller/policy/AttemptPlan.h
@@ -70,7 +70,7 @@
   // Whether a server has received the request or may have.
   bool MayHaveReachedServer() const { return mServersReached + mInFlight > 0; }
   // Whether another attempt may follow if the next one fails.
-  bool MayFailNext() const;
+  bool MayFailOverNext() const;
 
   // kNotRun only if every attempt is confirmed as not run.
   Outcome OutcomeWithoutAnswer() const;
--- a/packages/policy/include/porttiller/policy/CatchUp.h
+++ b/packages/policy/include/porttiller/policy/CatchUp.h
@@ -28,7 +28,7 @@
   explicit CatchUp(CatchUpOptions aOptions = {});
 
   // A peer announced this revision.
-  void OnHeard(const std::string& aPeer, std::uint64_t aRevision);
+  void OnAnnounced(const std::string& aPeer, std::uint64_t aRevision);
   // The request to a peer has ended, with or without an answer; this node then
   // holds aHeldRevision. A peer that is still ahead is asked again, unless this
   // node has made no progress since the peer's last answer.
--- a/packages/policy/include/porttiller/policy/WatchSchedule.h
+++ b/packages/policy/include/porttiller/policy/WatchSchedule.h
@@ -15,12 +15,12 @@
 namespace porttiller {
 
 // The position of a watcher among those of its zone.
-struct WatchPlace
+struct WatchPosition
 {
   std::size_t mRank = 0; // from 0
   std::size_t mCount = 1;
 
-  friend bool operator==(const WatchPlace&, const WatchPlace&) = default;
+  friend bool operator==(const WatchPosition&, const WatchPosition&) = default;
 };
 
 struct WatchScheduleOptions
@@ -35,7 +35,7 @@
   explicit WatchSchedule(WatchScheduleOptions aOptions);
 
   // Returns the duration of the next long poll.
-  Millis NextWait(const WatchPlace& aPlace);
+  Millis NextWait(const WatchPosition& aPlace);
   // A change ended the polls of all watchers in the zone at one moment, so
   // staggering starts again.
   void OnChange() { mFirstWait = true; }
@@ -43,7 +43,7 @@
 private:
   const WatchScheduleOptions mOptions;
   bool mFirstWait = true; // the next poll starts the stagger
-  std::optional<WatchPlace> mPlace;
+  std::optional<WatchPosition> mPlace;
 };
 
 } // namespace porttiller
--- a/packages/policy/src/AttemptPlan.cpp
+++ b/packages/policy/src/AttemptPlan.cpp
@@ -56,7 +56,7 @@
 }
 
 bool
-AttemptPlan::MayFailNext() const
+AttemptPlan::MayFailOverNext() const
 {
   return mRepeatable && MayReachAnother(1);
 }
--- a/packages/policy/src/CatchUp.cpp
+++ b/packages/policy/src/CatchUp.cpp
@@ -11,7 +11,7 @@
 }
 
 void
-CatchUp::OnHeard(const std::string& aPeer, std::uint64_t aRevision)
+CatchUp::OnAnnounced(const std::string& aPeer, std::uint64_t aRevision)
 {
   auto& candidate = mCandidates[aPeer];
   candidate.mRevision = std::max(candidate.mRevision, aRevision);
--- a/packages/policy/src/WatchSchedule.cpp
+++ b/packages/policy/src/WatchSchedule.cpp
@@ -10,7 +10,7 @@
 }
 
 Millis
-WatchSchedule::NextWait(const WatchPlace& aPlace)
+WatchSchedule::NextWait(const WatchPosition& aPlace)
 {
   const bool moved = mPlace != aPlace;
   mPlace = aPlace;
--- a/packages/policy/tests/AttemptPlanTest.cpp
+++ b/packages/policy/tests/AttemptPlanTest.cpp
@@ -107,7 +107,7 @@
   CHECK(plan.MayHedge(retry));
   plan.OnUnknown(retry);
   CHECK(plan.MayAttempt());
-  CHECK_FALSE(plan.MayFailNext());
+  CHECK_FALSE(plan.MayFailOverNext());
   plan.OnSent(BackendServerName("b"));
   CHECK_FALSE(plan.MayHedge(retry));
 }
--- a/packages/policy/tests/CatchUpTest.cpp
+++ b/packages/policy/tests/CatchUpTest.cpp
@@ -11,9 +11,9 @@
 TEST_CASE("A revision announced during a request is asked for afterwards")
 {
   CatchUp catchUp;
-  catchUp.OnHeard("a", 5);
+  catchUp.OnAnnounced("a", 5);
   REQUIRE(catchUp.Next(1) == Peers{ "a" });
-  catchUp.OnHeard("a", 6);
+  catchUp.OnAnnounced("a", 6);
   CHECK(catchUp.Next(1).empty());
   catchUp.OnEnded("a", true, 5);
   CHECK(catchUp.Next(5) == Peers{ "a" });
@@ -24,8 +24,8 @@
 TEST_CASE("A revision is asked for again if its delta no longer applies")
 {
   CatchUp catchUp;
-  catchUp.OnHeard("a", 5);
-  catchUp.OnHeard("b", 6);
+  catchUp.OnAnnounced("a", 5);
+  catchUp.OnAnnounced("b", 6);
   REQUIRE(catchUp.Next(1) == Peers{ "b", "a" });
   catchUp.OnEnded("a", true, 5);
   // The delta of b starts at revision 1 and does not apply.
@@ -36,9 +36,9 @@
 TEST_CASE("A peer that does not answer does not keep others from being asked")
 {
   CatchUp catchUp({ .mMaxPending = 2 });
-  catchUp.OnHeard("silent", 9);
-  catchUp.OnHeard("a", 5);
-  catchUp.OnHeard("b", 4);
+  catchUp.OnAnnounced("silent", 9);
+  catchUp.OnAnnounced("a", 5);
+  catchUp.OnAnnounced("b", 4);
   CHECK(catchUp.Next(1) == Peers{ "silent", "a" });
   CHECK(catchUp.Next(1).empty());
   catchUp.OnEnded("silent", false, 1);
@@ -48,7 +48,7 @@
 TEST_CASE("A peer whose answers make no progress is not asked forever")
 {
   CatchUp catchUp;
-  catchUp.OnHeard("a", 5);
+  catchUp.OnAnnounced("a", 5);
   int asked = 0;
   while (!catchUp.Next(1).empty()) {
     ++asked;
@@ -62,7 +62,7 @@
 {
   CatchUp catchUp({ .mMaxPending = 2, .mMaxCandidates = 2 });
   for (std::uint64_t i = 1; i <= 100; ++i) {
-    catchUp.OnHeard(std::to_string(i), i);
+    catchUp.OnAnnounced(std::to_string(i), i);
   }
   CHECK(catchUp.Newest() == 100);
   CHECK(catchUp.Next(0) == Peers{ "100", "99" });
@@ -102,13 +102,13 @@
     for (const auto step :
          *rc::gen::container<std::vector<int>>(80, rc::gen::inRange(0, 8))) {
       if (step < 4) {
-        catchUp.OnHeard("peer-" + std::to_string(step), ++newest);
+        catchUp.OnAnnounced("peer-" + std::to_string(step), ++newest);
         sendRequests();
       } else if (!pending.empty()) {
         answer(static_cast<std::size_t>(step) % pending.size(), step != 7);
       }
     }
-    catchUp.OnHeard("peer-0", newest);
+    catchUp.OnAnnounced("peer-0", newest);
     sendRequests();
     while (!pending.empty()) {
       answer(0, true);
--- a/packages/policy/tests/WatchScheduleTest.cpp
+++ b/packages/policy/tests/WatchScheduleTest.cpp
@@ -62,7 +62,7 @@
 TEST_CASE("Staggering starts again after a change and at another position")
 {
   WatchSchedule schedule({ .mStep = kStep });
-  const WatchPlace second{ .mRank = 1, .mCount = 3 };
+  const WatchPosition second{ .mRank = 1, .mCount = 3 };
   CHECK(schedule.NextWait(second) == 2 * kStep);
   CHECK(schedule.NextWait(second) == 3 * kStep);
   schedule.OnChange();
--- a/packages/store/include/porttiller/store/StoreError.h
+++ b/packages/store/include/porttiller/store/StoreError.h
@@ -14,7 +14,7 @@
   kNotFound,
   kConflict,  // the object has another version or already exists
   kBadAnswer, // the platform's answer cannot be decoded
-  kRefused    // the platform rejected the object as invalid
+  kRejected   // the platform rejected the object as invalid
 };
 
 struct StoreError
--- a/packages/store/src/ObjectClient.cpp
+++ b/packages/store/src/ObjectClient.cpp
@@ -37,7 +37,7 @@
     case HTTPResponse::HTTP_PRECONDITION_FAILED:
       return StoreErrorKind::kConflict;
     case HTTPResponse::HTTP_BAD_REQUEST:
-      return StoreErrorKind::kRefused;
+      return StoreErrorKind::kRejected;
     default:
       return StoreErrorKind::kUnavailable;
   }
@@ -71,7 +71,7 @@
       return "conflict";
     case StoreErrorKind::kBadAnswer:
       return "bad answer";
-    case StoreErrorKind::kRefused:
+    case StoreErrorKind::kRejected:
       break;
   }
   return "refused";
--- a/packages/telemetry/include/porttiller/telemetry/Metrics.h
+++ b/packages/telemetry/include/porttiller/telemetry/Metrics.h
@@ -23,11 +23,11 @@
   Metrics();
 
   void CountRequest(Outcome aOutcome);
-  void CountRefusal(RejectReason aRejectReason);
+  void CountRejection(RejectReason aRejectReason);
   // An object of the store or a record of a peer that was skipped.
   void CountUnreadable(UnreadableReason aReason);
   // A configuration delta that was not applied.
-  void CountRefusedDelta(ApplyError aError);
+  void CountRejectedDelta(ApplyError aError);
   prometheus::Counter& Retries() { return *mRetries; }
   // Hedges: attempts at a second server while the first one is unusually slow.
   prometheus::Counter& HedgedAttempts() { return *mHedgedAttempts; }
@@ -38,7 +38,7 @@
   prometheus::Gauge& LimitedWorkspaces() { return *mLimitedWorkspaces; }
   prometheus::Counter& DroppedAnswers() { return *mDroppedAnswers; }
   prometheus::Counter& PlatformCalls() { return *mPlatformCalls; }
-  prometheus::Counter& FloorRefusals() { return *mFloorRefusals; }
+  prometheus::Counter& FloorRejections() { return *mFloorRejections; }
   prometheus::Counter& Ejections() { return *mEjections; }
   prometheus::Counter& Demotions() { return *mDemotions; }
   // Seconds from a caller's request to its answer, minus the time spent at its
@@ -60,16 +60,16 @@
 private:
   std::shared_ptr<prometheus::Registry> mRegistry;
   std::array<prometheus::Counter*, 3> mRequests{};
-  std::array<prometheus::Counter*, kRejectReasonCount> mRefusals{};
+  std::array<prometheus::Counter*, kRejectReasonCount> mRejections{};
   std::array<prometheus::Counter*, kUnreadableReasonCount> mUnreadable{};
-  std::array<prometheus::Counter*, kApplyErrorCount> mRefusedDeltas{};
+  std::array<prometheus::Counter*, kApplyErrorCount> mRejectedDeltas{};
   prometheus::Counter* mRetries;
   prometheus::Counter* mHedgedAttempts;
   prometheus::Counter* mRevokes;
   prometheus::Counter* mOverLimit;
   prometheus::Counter* mDroppedAnswers;
   prometheus::Counter* mPlatformCalls;
-  prometheus::Counter* mFloorRefusals;
+  prometheus::Counter* mFloorRejections;
   prometheus::Counter* mEjections;
   prometheus::Counter* mDemotions;
   prometheus::Histogram* mAddedLatency;
--- a/packages/telemetry/src/Metrics.cpp
+++ b/packages/telemetry/src/Metrics.cpp
@@ -59,9 +59,9 @@
   , mPlatformCalls(MakeCounter(*mRegistry,
                                "porttiller_store_calls_total",
                                "Calls to the platform's object API"))
-  , mFloorRefusals(MakeCounter(*mRegistry,
-                               "porttiller_floor_refusals_total",
-                               "Ejections that the floor did not allow"))
+  , mFloorRejections(MakeCounter(*mRegistry,
+                                 "porttiller_floor_refusals_total",
+                                 "Ejections that the floor did not allow"))
   , mEjections(MakeCounter(*mRegistry,
                            "porttiller_ejections_total",
                            "Backend servers ejected by this home"))
@@ -115,9 +115,9 @@
   }
   auto& refusals = CounterFamily(
     *mRegistry, "porttiller_refusals_total", "Attempts that homes refused");
-  for (std::size_t i = 0; i < mRefusals.size(); ++i) {
+  for (std::size_t i = 0; i < mRejections.size(); ++i) {
     const auto reason = static_cast<RejectReason>(i);
-    mRefusals.at(i) =
+    mRejections.at(i) =
       &refusals.Add({ { "reason", std::string(ToText(reason)) } });
   }
   auto& unreadable =
@@ -132,9 +132,9 @@
   auto& deltas = CounterFamily(*mRegistry,
                                "porttiller_refused_deltas_total",
                                "Deltas of the configuration not taken over");
-  for (std::size_t i = 0; i < mRefusedDeltas.size(); ++i) {
+  for (std::size_t i = 0; i < mRejectedDeltas.size(); ++i) {
     const auto error = static_cast<ApplyError>(i);
-    mRefusedDeltas.at(i) =
+    mRejectedDeltas.at(i) =
       &deltas.Add({ { "reason", std::string(ToText(error)) } });
   }
 }
@@ -146,9 +146,9 @@
 }
 
 void
-Metrics::CountRefusal(RejectReason aRejectReason)
+Metrics::CountRejection(RejectReason aRejectReason)
 {
-  mRefusals.at(static_cast<std::size_t>(aRejectReason))->Increment();
+  mRejections.at(static_cast<std::size_t>(aRejectReason))->Increment();
 }
 
 void
@@ -158,9 +158,9 @@
 }
 
 void
-Metrics::CountRefusedDelta(ApplyError aError)
+Metrics::CountRejectedDelta(ApplyError aError)
 {
-  mRefusedDeltas.at(static_cast<std::size_t>(aError))->Increment();
+  mRejectedDeltas.at(static_cast<std::size_t>(aError))->Increment();
 }
 
 prometheus::Gauge&
